--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -519,14 +519,14 @@
     ),
     Break(
         "nothing of an ended batch is sent by an old view",
-        "batches/permission.py",
+        "batches/sendguard.py",
         "if not self.view.is_current():",
         "if False:",
         SITE + "test_ended",
     ),
     Break(
         "an item whose batch ends while it connects is kept back",
-        "batches/permission.py",
+        "batches/sendguard.py",
         "if not sample.record.is_open():",
         "if False:",
         SITE + "test_ended",
--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -14,11 +14,11 @@
 from kingcupscale.batches import generation
 from kingcupscale.batches import listing
 from kingcupscale.batches import moving
-from kingcupscale.batches import permission as permissions
 from kingcupscale.batches import placement
 from kingcupscale.batches import record as records
 from kingcupscale.batches import sample as samples
 from kingcupscale.batches import scoring
+from kingcupscale.batches import sendguard
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import roster
 from kingcupscale.fleet import serverclient
@@ -77,19 +77,17 @@
         catalogue_now: Callable[[], catalogue.Catalogue | None],
         view: views.View,
     ) -> None:
-        permission = permissions.Permission(view)
+        guard = sendguard.SendGuard(view)
         self.view = view
         self.service = service
         self.book = book
         self.servers = servers
-        self.generator = generation.Generator(
-            client, clock, permission, self._fail
-        )
+        self.generator = generation.Generator(client, clock, guard, self._fail)
         self.scorer = scoring.Scorer(
             forward,
             clock,
             catalogue_now,
-            permission,
+            guard,
             self._finish,
             self._fail,
         )
--- a/src/kingcupscale/batches/generation.py
+++ b/src/kingcupscale/batches/generation.py
@@ -9,9 +9,9 @@
 
 from kingcupscale import clock as clocks
 from kingcupscale import events
-from kingcupscale.batches import permission as permissions
 from kingcupscale.batches import placement
 from kingcupscale.batches import sample as samples
+from kingcupscale.batches import sendguard
 from kingcupscale.fleet import roster
 from kingcupscale.fleet import serverclient
 
@@ -49,7 +49,7 @@
     Args:
         client: Calls the engines.
         clock: Tells the time.
-        permission: Lets requests leave.
+        guard: Checks that requests may still be sent.
         fail: Ends a sample that can't be done, for a reason.
 
     Attributes:
@@ -62,12 +62,12 @@
         self,
         client: serverclient.ServerClient,
         clock: clocks.Clock,
-        permission: permissions.Permission,
+        guard: sendguard.SendGuard,
         fail: Callable[[samples.Sample, str], None],
     ) -> None:
         self.client = client
         self.clock = clock
-        self.permission = permission
+        self.guard = guard
         self.fail = fail
         self.token_s = placement.TOKEN_S
         self.event_s = 0.0
@@ -83,7 +83,7 @@
         before = len(sample.events)
         call = self._make_call(sample, version)
         outcome = "given up"
-        view_age_s = self.permission.view.age_s()
+        view_age_s = self.guard.view.age_s()
         try:
             with sample.run_scope:
                 async with self._begun(server, call) as answer:
@@ -135,7 +135,7 @@
             expected_version=version or None,
             resume_after=sample.resume_after(),
             priority=min(9, sample.route.priority),
-            check=functools.partial(self.permission.check, sample),
+            check=functools.partial(self.guard.check, sample),
         )
 
     async def _take_answer(
--- a/src/kingcupscale/batches/scoring.py
+++ b/src/kingcupscale/batches/scoring.py
@@ -7,8 +7,8 @@
 from kingcupscale import errors
 from kingcupscale import events
 from kingcupscale.batches import batch as batches
-from kingcupscale.batches import permission as permissions
 from kingcupscale.batches import sample as samples
+from kingcupscale.batches import sendguard
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import serverclient
 from kingcupscale.gateway import forwarder
@@ -28,7 +28,7 @@
         forward: Passes calls on.
         clock: Tells the time.
         catalogue_now: Returns the configuration in force.
-        permission: Lets calls leave.
+        guard: Checks that requests may still be sent.
         finish: Takes a sample's score.
         fail: Ends a sample that can't be scored, for a reason.
     """
@@ -38,14 +38,14 @@
         forward: forwarder.Forwarder,
         clock: clocks.Clock,
         catalogue_now: Callable[[], catalogue.Catalogue | None],
-        permission: permissions.Permission,
+        guard: sendguard.SendGuard,
         finish: Callable[[samples.Sample, str], None],
         fail: Callable[[samples.Sample, str], None],
     ) -> None:
         self.forwarder = forward
         self.clock = clock
         self.catalogue_now = catalogue_now
-        self.permission = permission
+        self.guard = guard
         self.finish = finish
         self.fail = fail
 
@@ -57,7 +57,7 @@
             return
         while sample.result is None:
             try:
-                self.permission.check(sample)
+                self.guard.check(sample)
                 answer = await self.forwarder.forward(
                     self._score_call(sample, scorer)
                 )
@@ -112,5 +112,5 @@
             patience_s=CALL_LIMIT_S,
             received_at=self.clock.monotonic(),
             is_background=True,
-            check=functools.partial(self.permission.check, sample),
+            check=functools.partial(self.guard.check, sample),
         )
--- a/src/kingcupscale/batches/permission.py
+++ b/src/kingcupscale/batches/sendguard.py
@@ -5,7 +5,7 @@
 from kingcupscale.storage import view as views
 
 
-class Permission:
+class SendGuard:
     """Lets a batch's requests leave while it is surely open.
 
     Args:
--- a/tests/platform/test_endless.py
+++ b/tests/platform/test_endless.py
@@ -15,9 +15,9 @@
 from kingcupscale import metrics
 from kingcupscale.batches import batch as batches
 from kingcupscale.batches import generation
-from kingcupscale.batches import permission as permissions
 from kingcupscale.batches import record as records
 from kingcupscale.batches import sample as samples
+from kingcupscale.batches import sendguard
 from kingcupscale.fleet import roster
 from kingcupscale.fleet import serverclient
 from kingcupscale.gateway import admission as admissions
@@ -99,7 +99,7 @@
         self.generator = generation.Generator(
             self.client,
             self.clock,
-            permissions.Permission(
+            sendguard.SendGuard(
                 views.View(CurrentMirror(), self.clock, "n", 3.0, lambda: None)
             ),
             lambda *_: None,
