--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -13,7 +13,7 @@
 from kingcupscale.batches import book as books
 from kingcupscale.batches import generation
 from kingcupscale.batches import listing
-from kingcupscale.batches import moving
+from kingcupscale.batches import migration
 from kingcupscale.batches import placement
 from kingcupscale.batches import record as records
 from kingcupscale.batches import sample as samples
@@ -363,14 +363,14 @@
         for sample in self.open_samples():
             if sample.stage is not samples.Stage.GENERATING:
                 continue
-            pace = moving.Pace(
+            pace = migration.RunProgress(
                 sample.run_events,
                 len(sample.events),
                 sample.event_s(now),
                 sample.moves,
             )
             expected = sample.expected_tokens() / self.generator.event_tokens
-            if not moving.is_worth_moving(pace, least_s, expected):
+            if not migration.should_migrate(pace, least_s, expected):
                 continue
             here = self.servers.servers.get(sample.server)
             others = [
@@ -382,7 +382,7 @@
             if not others or here is None or room <= taken:
                 continue
             best = min(placement.finish_cost(s, now, False) for s in others)
-            if moving.is_worth_moving(pace, best * event_s, expected):
+            if migration.should_migrate(pace, best * event_s, expected):
                 sample.moves += 1
                 taken += 1
                 here.note_pace(pace.event_s / max(1e-6, event_s))
--- a/src/kingcupscale/batches/generation.py
+++ b/src/kingcupscale/batches/generation.py
@@ -20,7 +20,7 @@
 RUN_LIMIT_S = 30.0
 # An engine begins its answer with the first token; before that, a run waits
 # for a place and for weights that are being loaded.
-HEAD_S = 5.0
+HEADER_TIMEOUT_S = 5.0
 # An engine that sends nothing for this long is given up for another one; one
 # that loads weights keeps its runs waiting meanwhile.
 SILENCE_S = 0.8
@@ -111,7 +111,7 @@
     ) -> AsyncIterator[serverclient.Answer]:
         """Sends a request whose answer has to begin in time."""
         async with contextlib.AsyncExitStack() as stack:
-            with trio.move_on_after(HEAD_S) as scope:
+            with trio.move_on_after(HEADER_TIMEOUT_S) as scope:
                 answer = await stack.enter_async_context(
                     self.client.run(server, call, CONNECT_S)
                 )
--- a/src/kingcupscale/batches/moving.py
+++ b/src/kingcupscale/batches/migration.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class Pace:
+class RunProgress:
     """How a run goes.
 
     Attributes:
@@ -47,22 +47,22 @@
     return max(least, expected_events - text_events)
 
 
-def is_worth_moving(
-    pace: Pace, other_event_s: float, expected_events: float
+def should_migrate(
+    run: RunProgress, other_event_s: float, expected_events: float
 ) -> bool:
     """Tells whether a sample ends sooner on another engine.
 
     Args:
-        pace: How it goes where it is.
+        run: How it goes where it is.
         other_event_s: Seconds that an event would take on the other engine; 0
             before any run has told.
         expected_events: Events that the whole text is expected to have.
     """
-    if pace.events < EVENTS_LEAST or pace.moves >= MOVES_MOST:
+    if run.events < EVENTS_LEAST or run.moves >= MOVES_MOST:
         return False
     if other_event_s <= 0:
         return False
-    if pace.event_s < SLOWER * other_event_s:
+    if run.event_s < SLOWER * other_event_s:
         return False
-    rest = rest_events(pace.text_events, expected_events)
-    return rest * (pace.event_s - other_event_s) > MOVE_COST_S
+    rest = rest_events(run.text_events, expected_events)
+    return rest * (run.event_s - other_event_s) > MOVE_COST_S
--- a/tests/platform/test_endless.py
+++ b/tests/platform/test_endless.py
@@ -159,7 +159,7 @@
                 await world.exchanger.aclose()
                 nursery.cancel_scope.cancel()
 
-    with mock.patch.object(generation, "HEAD_S", HEAD_S):
+    with mock.patch.object(generation, "HEADER_TIMEOUT_S", HEAD_S):
         trio.run(main)
 
 
