--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -117,7 +117,7 @@
     Break(
         "texts go on after a takeover",
         "batches/coordinator.py",
-        "sample.events = self.texts.pop(item.id, [])",
+        "sample.events = self.partial_texts.pop(item.id, [])",
         "sample.events = []",
         SITE + "test_batches.BatchTest.test_texts_go_on_after_a_takeover",
     ),
@@ -153,8 +153,9 @@
     Break(
         "a result is listed in its own batch only",
         "batches/coordinator.py",
-        "place = (sample.record.batch.id, sample.id)",
-        "place = next((p for p in self.results if p[1] == sample.id), None)",
+        "key = (sample.record.batch.id, sample.id)",
+        "key = next((k for k in self.copied_results if k[1] == sample.id), "
+        "None)",
         SITE + "test_versions.VersionTest"
         ".test_result_of_an_ended_batch_is_not_listed_in_another",
     ),
--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -60,9 +60,13 @@
         view: Tells whether batches' ends are known here.
 
     Attributes:
-        active: Models whose batches this node runs.
-        leftovers: Finished samples of batches that another node runs by now;
-            whichever node lists a result first, it stands.
+        active_models: Models whose batches this node runs.
+        partial_texts: Texts, by item, to continue when this node runs the
+            item: from other nodes' copies, and of batches it has released.
+        copied_results: Results from other nodes' copies, by batch and item.
+        released_samples: Finished samples of open batches that another node
+            runs by now. They are still listed here; the result that is
+            listed first stands.
     """
 
     def __init__(
@@ -97,12 +101,12 @@
         self.measures = measures
         self.clock = clock
         self.catalogue_now = catalogue_now
-        self.active: set[str] = set()
+        self.active_models: set[str] = set()
         self.progress: dict[str, Progress] = {}
         self.prompts: dict[str, set[str]] = {}
-        self.texts: dict[str, list[serverclient.StreamEvent]] = {}
-        self.results: dict[tuple[str, str], batches.Result] = {}
-        self.leftovers: list[samples.Sample] = []
+        self.partial_texts: dict[str, list[serverclient.StreamEvent]] = {}
+        self.copied_results: dict[tuple[str, str], batches.Result] = {}
+        self.released_samples: list[samples.Sample] = []
         self.woken = trio.Event()
 
     def open_samples(self) -> list[samples.Sample]:
@@ -124,22 +128,22 @@
         """Returns a model's samples that would be lost with this node."""
         return [
             sample
-            for sample in [*self.open_samples(), *self.leftovers]
+            for sample in [*self.open_samples(), *self.released_samples]
             if sample.record.batch.model == model
             and (sample.events or sample.result)
             and not sample.record.is_listed(sample.id)
         ]
 
     def _samples_to_list(self) -> list[samples.Sample]:
-        self.leftovers = [
+        self.released_samples = [
             sample
-            for sample in self.leftovers
+            for sample in self.released_samples
             if sample.record.is_open()
             and not sample.record.is_listed(sample.id)
         ]
-        return [*self.open_samples(), *self.leftovers]
+        return [*self.open_samples(), *self.released_samples]
 
-    def take_copy(self, copy: handover.Copy) -> bool:
+    def apply_copy(self, copy: handover.Copy) -> bool:
         """Takes over texts that another node has made.
 
         Returns:
@@ -148,15 +152,15 @@
         fits = True
         present = {sample.id: sample for sample in self.open_samples()}
         for text in copy.texts:
-            known = self.texts.get(text.item, [])
+            known = self.partial_texts.get(text.item, [])
             if not text.follows(known):
                 fits = False
                 continue
             if text.events and text.events[0].number == 1:
                 known = []
-            self.texts[text.item] = known + list(text.events)
+            self.partial_texts[text.item] = known + list(text.events)
             if text.result is not None:
-                self.results[text.batch_id, text.item] = text.result
+                self.copied_results[text.batch_id, text.item] = text.result
             sample = present.get(text.item)
             if sample is not None:
                 self._adopt(sample)
@@ -167,10 +171,10 @@
         """Goes on with a copied text or result, if it is ahead."""
         if sample.result is not None:
             return
-        text = self.texts.get(sample.id, [])
-        place = (sample.record.batch.id, sample.id)
-        if place in self.results:
-            sample.result = self.results.pop(place)
+        text = self.partial_texts.get(sample.id, [])
+        key = (sample.record.batch.id, sample.id)
+        if key in self.copied_results:
+            sample.result = self.copied_results.pop(key)
             sample.stage = samples.Stage.FINISHED
             sample.scope.cancel()
             self.lister.finished.set()
@@ -182,18 +186,18 @@
             sample.events = list(text)
 
     def _bound_copies(self) -> None:
-        for kept in (self.texts, self.results):
+        for kept in (self.partial_texts, self.copied_results):
             while len(kept) > TEXTS_KEPT:
                 del kept[next(iter(kept))]
 
     def is_active(self, model: str) -> bool:
         """Tells whether this node runs a model's batches."""
-        return model in self.active
+        return model in self.active_models
 
     def set_active(self, model: str, is_active: bool) -> None:
         """Takes up a model's batches, or lets them go."""
         if is_active != self.is_active(model):
-            self.active ^= {model}
+            self.active_models ^= {model}
             self._follow_batches()
             self.wake()
 
@@ -245,7 +249,7 @@
             progress.record = held
             for sample in progress.samples.values():
                 sample.record = held
-        for sample in self.leftovers:
+        for sample in self.released_samples:
             held = self.book.records.get(sample.record.batch.id)
             sample.record = held or sample.record
 
@@ -254,9 +258,9 @@
         for sample in progress.samples.values():
             sample.scope.cancel()
             if sample.events and sample.result is None:
-                self.texts[sample.id] = list(sample.events)
+                self.partial_texts[sample.id] = list(sample.events)
             if sample.result is not None and progress.record.is_open():
-                self.leftovers.append(sample)
+                self.released_samples.append(sample)
         self._bound_copies()
         events.log(
             events.Event.BATCH_CLOSED,
@@ -292,7 +296,7 @@
             if item.id not in listed:
                 sample = samples.Sample(item, record, route)
                 sample.waiting_since = now
-                sample.events = self.texts.pop(item.id, [])
+                sample.events = self.partial_texts.pop(item.id, [])
                 progress.samples[item.id] = sample
                 self._adopt(sample)
         self.progress[record.batch.id] = progress
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -216,7 +216,7 @@
     def _take_copy(self, copy: handover.Copy) -> message.Response:
         """Takes over texts, and the samples of a node that stops."""
         duty = self.services.get(copy.service)
-        fits = duty is None or duty.coordinator.take_copy(copy)
+        fits = duty is None or duty.coordinator.apply_copy(copy)
         model = self.models.get(leading.model_duty(copy.service, copy.model))
         if model is not None:
             model.note_heard(copy.sender)
@@ -317,7 +317,7 @@
         if self.leads():
             return LEADER_PAUSE_S
         is_needed = self.book.readers or any(
-            duty.coordinator.active for duty in self.services.values()
+            duty.coordinator.active_models for duty in self.services.values()
         )
         if self.feed.is_following and is_needed:
             return NEEDED_PAUSE_S
--- a/tests/platform/test_copies.py
+++ b/tests/platform/test_copies.py
@@ -35,18 +35,18 @@
         async with standin.opened(nodes=1) as site:
             runtime = site.nodes[0].runtime
             coordinator = runtime.services["engines"].coordinator
-            coordinator.texts["i1"] = list(known)
+            coordinator.partial_texts["i1"] = list(known)
             events = _events(6, 8, maker)
             before = handover.digest(_events(1, 5, maker))
             if not maker:
                 events, before = _events(1, 8, "c"), ""
             text = handover.Text("i1", events, before=before)
             copy = handover.Copy("engines", [text])
-            self.assertEqual(coordinator.take_copy(copy), fits)
+            self.assertEqual(coordinator.apply_copy(copy), fits)
             expected = known
             if fits:
                 expected = events if not maker else known + events
-            self.assertEqual(coordinator.texts["i1"], expected)
+            self.assertEqual(coordinator.partial_texts["i1"], expected)
 
     @virtual.on_virtual_time
     async def test_text_that_did_not_fit_is_sent_whole(self):
@@ -60,8 +60,8 @@
             others = [n for n in site.nodes if n is not holder]
             for node in others:
                 coordinator = node.runtime.services["engines"].coordinator
-                for item in list(coordinator.texts):
-                    coordinator.texts[item] = _events(1, 3, "other")
+                for item in list(coordinator.partial_texts):
+                    coordinator.partial_texts[item] = _events(1, 3, "other")
             await trio.sleep(2)
             made = holder.runtime.services["engines"].coordinator
             found = [
@@ -69,7 +69,7 @@
                 for node in others
                 for text in node.runtime.services[
                     "engines"
-                ].coordinator.texts.values()
+                ].coordinator.partial_texts.values()
                 if len(text) > 3
             ]
             self.assertEqual(len(found), 6)
--- a/tests/platform/test_lifecycle.py
+++ b/tests/platform/test_lifecycle.py
@@ -181,7 +181,7 @@
             active = [
                 node.name
                 for node in site.nodes
-                if node.runtime.services["engines"].coordinator.active
+                if node.runtime.services["engines"].coordinator.active_models
             ]
             self.assertEqual(active, [holder.name])
 
@@ -231,7 +231,7 @@
             await site.submit(third, items=6)
             await trio.sleep(2)
             coordinator = third.runtime.services["engines"].coordinator
-            self.assertEqual(len(coordinator.texts), 6)
+            self.assertEqual(len(coordinator.partial_texts), 6)
 
 
 class RetirementTest(unittest.TestCase):
--- a/tests/platform/test_versions.py
+++ b/tests/platform/test_versions.py
@@ -22,7 +22,7 @@
             text = handover.Text("b1-i0", [], old, "b0")
             for node in site.nodes:
                 duty = node.runtime.services["engines"]
-                duty.coordinator.take_copy(handover.Copy("engines", [text]))
+                duty.coordinator.apply_copy(handover.Copy("engines", [text]))
             await site.submit(site.nodes[0], "b1", minimum=2)
             for result in await site.read_all(site.nodes[0], "b1"):
                 self.assertEqual(result["versions"], [2])
