--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -445,14 +445,14 @@
         "batches/book.py",
         "        feed.defer(records.PREFIX)\n",
         "",
-        SITE + "test_herd",
+        SITE + "test_thundering_herd",
     ),
     Break(
         "an ended batch takes little",
         "batches/acceptance.py",
         "for number in range(parts):",
         "for number in range(0):",
-        SITE + "test_herd",
+        SITE + "test_thundering_herd",
     ),
     Break(
         "a lost node's samples go on soon",
@@ -473,14 +473,14 @@
         "platform/cloud.py",
         "        request.before_send = holder.check\n",
         "",
-        SITE + "test_permission",
+        SITE + "test_lease_expiry",
     ),
     Break(
         "no order to an engine leaves after its lease",
         "platform/servers.py",
         "        request.before_send = order.holder.check\n",
         "",
-        SITE + "test_permission",
+        SITE + "test_lease_expiry",
     ),
     Break(
         "a request that was read at a stop is answered",
--- a/tests/platform/test_permission.py
+++ b/tests/platform/test_lease_expiry.py
@@ -69,7 +69,7 @@
     await client.order(roster.Server(entry), order)
 
 
-class PermissionTest(unittest.TestCase):
+class LeaseExpiryTest(unittest.TestCase):
     @parameterized.parameterized.expand(
         [
             (f"{name}_{when}", send, delay_s, leaves)
--- a/tests/platform/test_herd.py
+++ b/tests/platform/test_thundering_herd.py
@@ -48,7 +48,7 @@
     return node
 
 
-class HerdTest(unittest.TestCase):
+class ThunderingHerdTest(unittest.TestCase):
     @parameterized.parameterized.expand([("one", 1), ("herd", NODES)])
     @virtual.on_virtual_time
     async def test_calls_are_answered_soon_after_a_start(self, _, count):
