--- a/src/kingcupscale/surroundings.py
+++ b/src/kingcupscale/dependencies.py
@@ -49,7 +49,7 @@
 
 
 @attrs.frozen
-class Surroundings:
+class Dependencies:
     """What a node reaches the world by.
 
     Attributes:
--- a/src/kingcupscale/directives.py
+++ b/src/kingcupscale/directives.py
@@ -2,8 +2,8 @@
 
 import functools
 
+from kingcupscale import dependencies
 from kingcupscale import events
-from kingcupscale import surroundings
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import roster
 from kingcupscale.storage import entries
@@ -31,8 +31,8 @@
         self,
         feed: feeds.Feed,
         servers: roster.Roster,
-        keys: surroundings.Keys,
-        decoders: surroundings.Decoders,
+        keys: dependencies.Keys,
+        decoders: dependencies.Decoders,
     ) -> None:
         self.servers = servers
         self.keys = keys
--- a/src/kingcupscale/leading.py
+++ b/src/kingcupscale/leading.py
@@ -45,42 +45,42 @@
     """
 
     def __init__(self, runtime: "runtimes.Runtime", service: str) -> None:
-        around = runtime.surroundings
+        deps = runtime.dependencies
         self.runtime = runtime
         self.service = service
         self.tenure = tenures.Tenure(
-            service, runtime.session, runtime.feed, around.clock
+            service, runtime.session, runtime.feed, deps.clock
         )
         self.coordinator = coordinators.Coordinator(
             service,
             runtime.book,
             runtime.roster,
-            around.servers,
+            deps.servers,
             runtime.forwarder,
             runtime.measures,
-            around.clock,
+            deps.clock,
             runtime.catalogue_now,
             runtime.view,
         )
         self.loader = loaders.Loader(
             self.tenure,
             runtime.roster,
-            around.servers,
+            deps.servers,
             runtime.directives.named_versions,
-            around.clock,
+            deps.clock,
             runtime.catalogue_now,
             self._tell,
         )
         self.sizer = fleetsize.Sizer(
             self.tenure,
             runtime.roster,
-            around.provider,
-            around.clock,
+            deps.provider,
+            deps.clock,
             runtime.catalogue_now,
             lambda: runtime.open_items(service),
         )
         self.nursery: trio.Nursery | None = None
-        self.retention = retention.Retention(runtime.book, around.clock)
+        self.retention = retention.Retention(runtime.book, deps.clock)
         self.forgot_at = 0.0
 
     async def run(self) -> None:
@@ -121,7 +121,7 @@
 
     async def _send(self, address: str, state: loads.LoadState) -> None:
         try:
-            await self.runtime.surroundings.loads.send(address, state)
+            await self.runtime.dependencies.loads.send(address, state)
         except calls.PeerError as e:
             # The engine's own entry and its refusals tell the same, later.
             events.log(events.Event.PEER_SILENT, address=address, reason=str(e))
@@ -158,7 +158,7 @@
     def __init__(
         self, runtime: "runtimes.Runtime", leader: ServiceDuty, model: str
     ) -> None:
-        around = runtime.surroundings
+        deps = runtime.dependencies
         self.runtime = runtime
         self.leader = leader
         self.service = leader.service
@@ -173,13 +173,13 @@
             model_duty(leader.service, model),
             runtime.session,
             runtime.feed,
-            around.clock,
+            deps.clock,
         )
         self.copier = copying.Copier(
             self.coordinator,
             model,
-            around.copies,
-            around.clock,
+            deps.copies,
+            deps.clock,
             runtime.settings.node,
             self._find_successor,
             runtime.peers.note_failure,
--- a/src/kingcupscale/operating/exposition.py
+++ b/src/kingcupscale/operating/exposition.py
@@ -55,7 +55,7 @@
         ]
 
     def _store_calls(self) -> list[str]:
-        calls = self.runtime.surroundings.store.calls
+        calls = self.runtime.dependencies.store.calls
         return [
             f'store_calls_total{{call="{name}"}} {count}'
             for name, count in sorted(calls.items())
--- a/src/kingcupscale/platform/process.py
+++ b/src/kingcupscale/platform/process.py
@@ -9,12 +9,12 @@
 import trio
 
 from kingcupscale import clock as clocks
+from kingcupscale import dependencies
 from kingcupscale import deployment
 from kingcupscale import events
 from kingcupscale import logs
 from kingcupscale import runtime as runtimes
 from kingcupscale import settings as settings_errors
-from kingcupscale import surroundings
 from kingcupscale.operating import exposition
 from kingcupscale.peering import commits
 from kingcupscale.peering import counts
@@ -41,14 +41,14 @@
 PEER_BODY_BYTES = 64 * 1024 * 1024
 GC_ALLOCATIONS = 50_000
 
-KEYS = surroundings.Keys(
+KEYS = dependencies.Keys(
     names.CONFIGURATION_KEY,
     names.SERVERS_PREFIX,
     names.VERSIONS_PREFIX,
     names.RETIREMENTS_PREFIX,
     names.RETIREMENT_STATES_PREFIX,
 )
-DECODERS = surroundings.Decoders(
+DECODERS = dependencies.Decoders(
     documents.decode_catalogue,
     documents.decode_server,
     documents.decode_named_version,
@@ -83,7 +83,7 @@
     client = cloud.PlatformCloud(exchangers.cloud, settings.cloud)
     return runtimes.Runtime(
         settings,
-        surroundings.Surroundings(
+        dependencies.Dependencies(
             store.PlatformStore(exchangers.store, settings.store),
             servers.PlatformServers(exchangers.servers),
             client,
--- a/src/kingcupscale/retirements.py
+++ b/src/kingcupscale/retirements.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
+from kingcupscale import dependencies
 from kingcupscale import events
-from kingcupscale import surroundings
 from kingcupscale.storage import feed as feeds
 from kingcupscale.storage import store as stores
 
@@ -23,7 +23,7 @@
     def __init__(
         self,
         feed: feeds.Feed,
-        keys: surroundings.Keys,
+        keys: dependencies.Keys,
         encode: Callable[[str], bytes],
     ) -> None:
         self.feed = feed
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -6,6 +6,7 @@
 import trio
 
 from kingcupscale import candidates
+from kingcupscale import dependencies
 from kingcupscale import deployment
 from kingcupscale import directives
 from kingcupscale import events
@@ -13,7 +14,6 @@
 from kingcupscale import metrics
 from kingcupscale import readiness
 from kingcupscale import retirements
-from kingcupscale import surroundings
 from kingcupscale.batches import book as books
 from kingcupscale.batches import keeper
 from kingcupscale.batches import record as records
@@ -65,7 +65,7 @@
 
     Args:
         settings: What it is told.
-        around: What it reaches the world by.
+        deps: What it reaches the world by.
 
     Attributes:
         candidates: Which node is preferred for a duty.
@@ -79,11 +79,11 @@
     def __init__(
         self,
         settings: deployment.SiteSettings,
-        around: surroundings.Surroundings,
+        deps: dependencies.Dependencies,
     ) -> None:
         self.settings = settings
-        self.surroundings = around
-        self.clock = around.clock
+        self.dependencies = deps
+        self.clock = deps.clock
         self.measures = metrics.Metrics()
         self.is_draining = False
         self.drain_asked = trio.Event()
@@ -94,9 +94,9 @@
         self._make_serving()
 
     def _make_storage(self) -> None:
-        settings, around = self.settings, self.surroundings
+        settings, deps = self.settings, self.dependencies
         self.feed = feeds.Feed(
-            around.store,
+            deps.store,
             self.clock,
             settings.node,
             self._feed_pause_s,
@@ -104,10 +104,10 @@
         )
         self.peers = peers.Peers(
             settings.node,
-            around.relay,
-            around.commits,
+            deps.relay,
+            deps.commits,
             self.clock,
-            around.rng,
+            deps.rng,
             lambda: self.services,
         )
         self.peers.feed = self.feed
@@ -125,7 +125,7 @@
         )
         self.book = books.Book(
             self.feed,
-            detour.DetourStore(around.store, self.peers.commit),
+            detour.DetourStore(deps.store, self.peers.commit),
             self.clock,
             settings.value_bytes,
             self._fetch_copy,
@@ -136,10 +136,10 @@
             settings.least_lease_s, LEASE_SHARE * settings.bounds.lease_s
         )
         self.session = tenures.Session(
-            around.store, self.clock, settings.node, ttl_s
+            deps.store, self.clock, settings.node, ttl_s
         )
         self.presence = tenures.Presence(
-            around.store,
+            deps.store,
             self.clock,
             settings.node,
             PRESENCE_LEASES * ttl_s,
@@ -148,7 +148,7 @@
         self.candidates = candidates.Candidates(self.feed, settings.node)
         self.feed.subscribe(tenures.NODES_PREFIX, self._take_node)
         self.directives = directives.Directives(
-            self.feed, self.roster, around.keys, around.decoders
+            self.feed, self.roster, deps.keys, deps.decoders
         )
         self.readiness = readiness.Readiness(
             self.feed,
@@ -159,16 +159,16 @@
         )
 
     def _make_serving(self) -> None:
-        settings, around = self.settings, self.surroundings
+        settings, deps = self.settings, self.dependencies
         self.reporter = windows.WindowReporter(
             tenures.Tenure(windows.DUTY, self.session, self.feed, self.clock),
             self.feed,
-            around.intake,
+            deps.intake,
             self.clock,
             settings.bounds.window_s,
             settings.bounds.late_s,
         )
-        self.telling = telling.Telling(self.peers, self.reporter, around.counts)
+        self.telling = telling.Telling(self.peers, self.reporter, deps.counts)
         self.usage = windows.WindowCounter(
             self.feed,
             self.clock,
@@ -182,11 +182,11 @@
         self.forwarder = forwarder.Forwarder(
             admission,
             self.roster,
-            around.servers,
+            deps.servers,
             self.usage,
             self.measures,
             self.clock,
-            around.rng,
+            deps.rng,
             settings.zone,
         )
         self.callers = callers.Callers(
@@ -197,13 +197,13 @@
             self.readiness.find_refusal,
         )
         self.retirements = retirements.Retirements(
-            self.feed, around.keys, around.decoders.retirement_state
+            self.feed, deps.keys, deps.decoders.retirement_state
         )
 
     async def answer_peer(self, request: message.Request) -> message.Response:
         """Answers another node."""
         if request.path == commits.PATH:
-            return await commits.answer(self.surroundings.store, request)
+            return await commits.answer(self.dependencies.store, request)
         if request.path == handover.PATH:
             return self._take_copy(handover.decode(request.body))
         if request.path == counts.PATH:
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -52,7 +52,7 @@
     node = site.nodes[0].runtime
     for name in (*PLAIN, *ENGINES):
         with contextlib.suppress(serverclient.ServerError):
-            await node.surroundings.servers.report(node.roster.servers[name])
+            await node.dependencies.servers.report(node.roster.servers[name])
 
 
 class LeavingTest(unittest.TestCase):
@@ -147,7 +147,7 @@
             server.answer = answer_with_a_copy
             order = serverclient.VersionOrder(standin.MODEL, 2, True, HOLDER, 0)
             with self.assertRaises(serverclient.ServerError) as caught:
-                await node.surroundings.servers.order(
+                await node.dependencies.servers.order(
                     node.roster.servers["e1"], order
                 )
             self.assertTrue(caught.exception.may_have_run)
