--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -78,7 +78,7 @@
     ),
     Break(
         "a configuration never goes back",
-        "directives.py",
+        "clusterstate.py",
         "not catalogue.is_newer(found, self.catalogue)",
         "False",
         SITE + "test_configurations.ConfigurationTest"
--- a/src/kingcupscale/directives.py
+++ b/src/kingcupscale/clusterstate.py
@@ -11,7 +11,7 @@
 from kingcupscale.storage import store as stores
 
 
-class Directives:
+class ClusterState:
     """Follows the configuration, the servers' entries and named versions.
 
     What makes no sense is logged and changes nothing; nothing goes back.
@@ -24,7 +24,7 @@
 
     Attributes:
         catalogue: The configuration in force; None before the first.
-        named_versions: Newest weight version by model.
+        target_versions: Newest weight version by model.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         self.keys = keys
         self.decoders = decoders
         self.catalogue: catalogue.Catalogue | None = None
-        self.named_versions: dict[str, int] = {}
+        self.target_versions: dict[str, int] = {}
         feed.subscribe(keys.configuration, self._take_configuration)
         feed.subscribe(keys.servers, self._take_server)
         feed.subscribe(keys.versions, self._take_version)
@@ -70,10 +70,10 @@
     def _take_version(self, entry: stores.Entry) -> None:
         if entry.value is None:
             return
-        found = entries.read(entry, self.decoders.named_version)
+        found = entries.read(entry, self.decoders.target_version)
         if found is None:
             return
         model, version = found
-        if version > self.named_versions.get(model, 0):
-            self.named_versions[model] = version
+        if version > self.target_versions.get(model, 0):
+            self.target_versions[model] = version
             events.log(events.Event.VERSION_NAMED, model=model, version=version)
--- a/src/kingcupscale/dependencies.py
+++ b/src/kingcupscale/dependencies.py
@@ -44,7 +44,7 @@
 
     catalogue: Callable[[bytes], catalogue.Catalogue]
     server: Callable[[str, bytes], roster.ServerEntry]
-    named_version: Callable[[bytes], tuple[str, int]]
+    target_version: Callable[[bytes], tuple[str, int]]
     retirement_state: Callable[[str], bytes]
 
 
--- a/src/kingcupscale/leading.py
+++ b/src/kingcupscale/leading.py
@@ -66,7 +66,7 @@
             self.tenure,
             runtime.roster,
             deps.servers,
-            runtime.directives.named_versions,
+            runtime.cluster_state.target_versions,
             deps.clock,
             runtime.catalogue_now,
             self._tell,
--- a/src/kingcupscale/operating/exposition.py
+++ b/src/kingcupscale/operating/exposition.py
@@ -36,7 +36,7 @@
 
     def _gauges(self) -> list[str]:
         runtime = self.runtime
-        configured = runtime.directives.catalogue
+        configured = runtime.cluster_state.catalogue
         usable = [
             server
             for server in runtime.roster.servers.values()
--- a/src/kingcupscale/platform/documents.py
+++ b/src/kingcupscale/platform/documents.py
@@ -162,7 +162,7 @@
     return {model["name"]: int(model["version"]) for model in models}
 
 
-def decode_named_version(value: bytes) -> tuple[str, int]:
+def decode_target_version(value: bytes) -> tuple[str, int]:
     """Returns the model and the weight version that a trainer named.
 
     Raises:
--- a/src/kingcupscale/platform/process.py
+++ b/src/kingcupscale/platform/process.py
@@ -51,7 +51,7 @@
 DECODERS = dependencies.Decoders(
     documents.decode_catalogue,
     documents.decode_server,
-    documents.decode_named_version,
+    documents.decode_target_version,
     documents.encode_retirement_state,
 )
 
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -6,9 +6,9 @@
 import trio
 
 from kingcupscale import candidates
+from kingcupscale import clusterstate
 from kingcupscale import dependencies
 from kingcupscale import deployment
-from kingcupscale import directives
 from kingcupscale import events
 from kingcupscale import leading
 from kingcupscale import metrics
@@ -69,7 +69,7 @@
 
     Attributes:
         candidates: Which node is preferred for a duty.
-        directives: What operators and trainers have written.
+        cluster_state: What operators and trainers have written.
         readiness: Whether the node may take work.
         callers: Answers callers.
         is_draining: Whether a planned stop has begun.
@@ -147,7 +147,7 @@
         )
         self.candidates = candidates.Candidates(self.feed, settings.node)
         self.feed.subscribe(tenures.NODES_PREFIX, self._take_node)
-        self.directives = directives.Directives(
+        self.cluster_state = clusterstate.ClusterState(
             self.feed, self.roster, deps.keys, deps.decoders
         )
         self.readiness = readiness.Readiness(
@@ -246,7 +246,7 @@
 
     def catalogue_now(self) -> catalogue.Catalogue | None:
         """Returns the configuration in force; None before the first."""
-        return self.directives.catalogue
+        return self.cluster_state.catalogue
 
     def limits_now(self) -> limits.Limits:
         """Returns what callers may send by the configuration in force."""
