--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -355,7 +355,7 @@
     ),
     Break(
         "a planned stop hands over the last of all texts",
-        "leading.py",
+        "leadership.py",
         "            await self.copier.hand_over()\n"
         "        self.coordinator.set_active(self.model, False)\n",
         "            self.coordinator.set_active(self.model, False)\n"
@@ -364,7 +364,7 @@
     ),
     Break(
         "samples go on at once when their node is stopped",
-        "leading.py",
+        "leadership.py",
         "if holder == self.taken_from and now < self.taken_until:",
         "if False:",
         SITE + "test_lifecycle.RollingStopTest",
@@ -455,7 +455,7 @@
     ),
     Break(
         "a lost node's samples go on soon",
-        "leading.py",
+        "leadership.py",
         "if self._is_overdue(holder):",
         "if False:",
         SITE + "test_lifecycle.LostHolderTest",
--- a/src/kingcupscale/candidates.py
+++ b/src/kingcupscale/candidates.py
@@ -83,7 +83,7 @@
         self.known_holders = None
 
 
-def find_surplus(
+def find_surplus_duty(
     duties: Sequence[str],
     holders: Mapping[str, str],
     node: str,
--- a/src/kingcupscale/leading.py
+++ b/src/kingcupscale/leadership.py
@@ -26,7 +26,7 @@
 FORGET_PAUSE_S = 5.0
 # With fewer nodes, the one that leads a service runs all of its models: it
 # then knows every sample on the engines. One node can't carry larger fleets'.
-SPREAD_FROM_NODES = 8
+MIN_NODES_TO_DISTRIBUTE = 8
 # A node that has stopped running samples gives its lease back within this
 # time, also to a slow store.
 TAKEOVER_S = 3.0
@@ -114,7 +114,7 @@
         """Takes over a load's state and passes it on to the model's node."""
         self.runtime.take_load(state)
         peers = self.runtime.peers
-        holder = peers.holder(model_duty(self.service, state.model))
+        holder = peers.holder(model_duty_name(self.service, state.model))
         address = peers.addresses().get(holder)
         if address and self.nursery is not None:
             self.nursery.start_soon(self._send, address, state)
@@ -129,7 +129,7 @@
 
 def is_small_fleet(runtime: "runtimes.Runtime") -> bool:
     """Tells whether one node can run all models of a service."""
-    return len(runtime.candidates.names()) < SPREAD_FROM_NODES
+    return len(runtime.candidates.names()) < MIN_NODES_TO_DISTRIBUTE
 
 
 def rank(runtime: "runtimes.Runtime", duty: str) -> int:
@@ -141,7 +141,7 @@
     )
 
 
-def model_duty(service: str, model: str) -> str:
+def model_duty_name(service: str, model: str) -> str:
     """Returns the name of the duty of running a model's samples."""
     return f"{service}/{model}"
 
@@ -170,7 +170,7 @@
         self.heard_at = 0.0
         self.probed_at = 0.0
         self.tenure = tenures.Tenure(
-            model_duty(leader.service, model),
+            model_duty_name(leader.service, model),
             runtime.session,
             runtime.feed,
             deps.clock,
@@ -185,7 +185,7 @@
             runtime.peers.note_failure,
         )
 
-    def wants_batches(self) -> bool:
+    def needs_batches(self) -> bool:
         """Tells whether this node runs the model's batches, or would next."""
         node = self.runtime.settings.node
         holder = self.runtime.peers.holder(self.tenure.name)
@@ -271,7 +271,7 @@
         if is_small_fleet(self.runtime) or self.runtime.feed.is_lost:
             return False
         found = self.runtime.candidates
-        surplus = candidates.find_surplus(
+        surplus = candidates.find_surplus_duty(
             [*self.runtime.services, *self.runtime.models],
             found.holders(),
             found.node,
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -10,7 +10,7 @@
 from kingcupscale import dependencies
 from kingcupscale import deployment
 from kingcupscale import events
-from kingcupscale import leading
+from kingcupscale import leadership
 from kingcupscale import metrics
 from kingcupscale import readiness
 from kingcupscale import retirements
@@ -88,8 +88,8 @@
         self.is_draining = False
         self.drain_asked = trio.Event()
         self.stopped = trio.Event()
-        self.services: dict[str, leading.ServiceDuty] = {}
-        self.models: dict[str, leading.ModelDuty] = {}
+        self.services: dict[str, leadership.ServiceDuty] = {}
+        self.models: dict[str, leadership.ModelDuty] = {}
         self._make_storage()
         self._make_serving()
 
@@ -217,7 +217,9 @@
         """Takes over texts, and the samples of a node that stops."""
         duty = self.services.get(copy.service)
         fits = duty is None or duty.coordinator.take_copy(copy)
-        model = self.models.get(leading.model_duty(copy.service, copy.model))
+        model = self.models.get(
+            leadership.model_duty_name(copy.service, copy.model)
+        )
         if model is not None:
             model.note_heard(copy.sender)
         if not fits:
@@ -296,7 +298,7 @@
         nodes = self.peers.leaders()
         model = self.book.model_of(batch_id)
         for service in self.services if model else []:
-            duty = leading.model_duty(service, model or "")
+            duty = leadership.model_duty_name(service, model or "")
             nodes.append(self.peers.holder(duty))
         others = [n for n in dict.fromkeys(nodes) if n != self.settings.node]
         return await self.peers.copy_of(batch_id, others)
@@ -304,11 +306,11 @@
     async def _keep_batches(self) -> None:
         """Has the batches known that this node's duties need."""
         while True:
-            everything = self.leads() or leading.is_small_fleet(self)
+            everything = self.leads() or leadership.is_small_fleet(self)
             models = {
                 duty.model
                 for duty in self.models.values()
-                if duty.wants_batches()
+                if duty.needs_batches()
             }
             self.book.want(everything, frozenset(models))
             await self.clock.rest(WANT_PAUSE_S)
@@ -392,12 +394,12 @@
         self, service: str, models: Iterable[str], nursery: trio.Nursery
     ) -> None:
         if service not in self.services:
-            self.services[service] = leading.ServiceDuty(self, service)
+            self.services[service] = leadership.ServiceDuty(self, service)
             nursery.start_soon(self.services[service].run)
         for model in models:
-            duty = leading.model_duty(service, model)
+            duty = leadership.model_duty_name(service, model)
             if duty not in self.models:
-                self.models[duty] = leading.ModelDuty(
+                self.models[duty] = leadership.ModelDuty(
                     self, self.services[service], model
                 )
                 nursery.start_soon(self.models[duty].run)
@@ -420,7 +422,7 @@
         await tenures.hold(
             self.reporter.tenure,
             self._look_after_store,
-            lambda: leading.rank(self, windows.DUTY),
+            lambda: leadership.rank(self, windows.DUTY),
             USAGE_PAUSE_S,
         )
 
--- a/tests/platform/test_candidates.py
+++ b/tests/platform/test_candidates.py
@@ -32,9 +32,9 @@
         ]
     )
     def test_first_to_go(self, _, holders, expected):
-        found = candidates.find_surplus(DUTIES, holders, "n1", NODES)
+        found = candidates.find_surplus_duty(DUTIES, holders, "n1", NODES)
         self.assertEqual(found, expected)
 
     def test_no_duties_are_no_surplus(self):
-        found = candidates.find_surplus([], {"u": "n1"}, "n1", NODES)
+        found = candidates.find_surplus_duty([], {"u": "n1"}, "n1", NODES)
         self.assertEqual(found, "")
--- a/tests/platform/test_ended.py
+++ b/tests/platform/test_ended.py
@@ -174,7 +174,7 @@
         node = next(
             n
             for n in site.nodes
-            if not n.runtime.models[DUTY].wants_batches()
+            if not n.runtime.models[DUTY].needs_batches()
             and not n.runtime.leads()
         )
         await site.submit(node)
--- a/tests/platform/test_spreading.py
+++ b/tests/platform/test_spreading.py
@@ -5,7 +5,7 @@
 import parameterized
 import trio
 
-from kingcupscale import leading
+from kingcupscale import leadership
 from kingcupscale.storage import tenure as tenures
 from tests import virtual
 from tests.platform import serverstandin
@@ -13,8 +13,8 @@
 
 MODELS = (standin.MODEL, "beta")
 DUTIES = ("engines", *(f"engines/{model}" for model in MODELS))
-FEW = leading.SPREAD_FROM_NODES - 1
-MANY = leading.SPREAD_FROM_NODES + 1
+FEW = leadership.MIN_NODES_TO_DISTRIBUTE - 1
+MANY = leadership.MIN_NODES_TO_DISTRIBUTE + 1
 # The last node has started this much earlier.
 SPREAD_S = 4.0
 
