--- a/src/kingcupscale/leadership.py
+++ b/src/kingcupscale/leadership.py
@@ -57,9 +57,9 @@
             runtime.roster,
             deps.servers,
             runtime.forwarder,
-            runtime.measures,
+            runtime.metrics,
             deps.clock,
-            runtime.catalogue_now,
+            runtime.current_catalogue,
             runtime.view,
         )
         self.loader = loaders.Loader(
@@ -68,7 +68,7 @@
             deps.servers,
             runtime.cluster_state.target_versions,
             deps.clock,
-            runtime.catalogue_now,
+            runtime.current_catalogue,
             self._tell,
         )
         self.sizer = fleetsize.Sizer(
@@ -76,8 +76,8 @@
             runtime.roster,
             deps.provider,
             deps.clock,
-            runtime.catalogue_now,
-            lambda: runtime.open_items(service),
+            runtime.current_catalogue,
+            lambda: runtime.count_open_items(service),
         )
         self.nursery: trio.Nursery | None = None
         self.retention = retention.Retention(runtime.book, deps.clock)
@@ -112,7 +112,7 @@
 
     def _tell(self, state: loads.LoadState) -> None:
         """Takes over a load's state and passes it on to the model's node."""
-        self.runtime.take_load(state)
+        self.runtime.apply_load_state(state)
         peers = self.runtime.peers
         holder = peers.holder(model_duty_name(self.service, state.model))
         address = peers.addresses().get(holder)
--- a/src/kingcupscale/operating/exposition.py
+++ b/src/kingcupscale/operating/exposition.py
@@ -47,7 +47,7 @@
             f"configuration_version {configured.version if configured else 0}",
             f"mirror_age_seconds {runtime.feed.age_s():.3f}",
             f"mirror_revision {runtime.feed.revision}",
-            f"duties_held {runtime.duties_held()}",
+            f"duties_held {runtime.count_held_duties()}",
             f"servers_known {len(runtime.roster.servers)}",
             f"servers_usable {len(usable)}",
             f"batches_known {len(runtime.book.records)}",
@@ -73,7 +73,7 @@
     def _histograms(self) -> list[str]:
         return [
             row
-            for summary in self.runtime.measures.summaries()
+            for summary in self.runtime.metrics.summaries()
             for row in _rows_of(summary)
         ]
 
--- a/src/kingcupscale/platform/process.py
+++ b/src/kingcupscale/platform/process.py
@@ -161,7 +161,7 @@
                 server.serve,
                 handler,
                 settings.callers,
-                runtime.limits_now,
+                runtime.current_limits,
                 runtime.stopped.wait,
                 graceful_timeout_s=settings.bounds.grace_s,
             )
@@ -175,7 +175,7 @@
         )
         await nursery.start(
             server.serve,
-            runtime.answer_peer,
+            runtime.handle_peer_request,
             settings.peers,
             own_limits,
             runtime.stopped.wait,
@@ -202,7 +202,7 @@
 
 async def _await_signal(runtime: runtimes.Runtime, path: str) -> None:
     await _wait_for_stop(path)
-    runtime.drain_asked.set()
+    runtime.drain_requested.set()
 
 
 async def _wait_for_stop(path: str) -> None:
--- a/src/kingcupscale/readiness.py
+++ b/src/kingcupscale/readiness.py
@@ -24,7 +24,7 @@
         others: The other nodes.
         clock: Tells the time.
         bounds: Within which time a change is in force.
-        catalogue_now: Returns the configuration in force.
+        current_catalogue: Returns the configuration in force.
     """
 
     def __init__(
@@ -33,17 +33,17 @@
         others: peers.Peers,
         clock: clocks.Clock,
         bounds: deployment.Bounds,
-        catalogue_now: Callable[[], catalogue.Catalogue | None],
+        current_catalogue: Callable[[], catalogue.Catalogue | None],
     ) -> None:
         self.feed = feed
         self.peers = others
         self.clock = clock
         self.bounds = bounds
-        self.catalogue_now = catalogue_now
+        self.current_catalogue = current_catalogue
 
-    def find_refusal(self) -> errors.ServiceError | None:
+    def admission_error(self) -> errors.ServiceError | None:
         """Returns why the node takes nothing now, or None."""
-        if self.catalogue_now() is None:
+        if self.current_catalogue() is None:
             code = errors.ResultCode.NOT_READY
         elif self.is_isolated():
             code = errors.ResultCode.ISOLATED
@@ -51,7 +51,7 @@
             return None
         return errors.ServiceError(code, retry_after_s=RETRY_AFTER_S)
 
-    def find_doubt(self) -> errors.ServiceError | None:
+    def staleness_error(self) -> errors.ServiceError | None:
         """Returns why the configuration justifies no refusal now, or None.
 
         A newer one may allow what this one does not. What this one allows is
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -84,9 +84,9 @@
         self.settings = settings
         self.dependencies = deps
         self.clock = deps.clock
-        self.measures = metrics.Metrics()
+        self.metrics = metrics.Metrics()
         self.is_draining = False
-        self.drain_asked = trio.Event()
+        self.drain_requested = trio.Event()
         self.stopped = trio.Event()
         self.services: dict[str, leadership.ServiceDuty] = {}
         self.models: dict[str, leadership.ModelDuty] = {}
@@ -155,7 +155,7 @@
             self.peers,
             self.clock,
             settings.bounds,
-            self.catalogue_now,
+            self.current_catalogue,
         )
 
     def _make_serving(self) -> None:
@@ -177,14 +177,14 @@
             self.telling,
         )
         admission = admissions.Admission(
-            self.catalogue_now, self.readiness.find_doubt
+            self.current_catalogue, self.readiness.staleness_error
         )
         self.forwarder = forwarder.Forwarder(
             admission,
             self.roster,
             deps.servers,
             self.usage,
-            self.measures,
+            self.metrics,
             self.clock,
             deps.rng,
             settings.zone,
@@ -194,13 +194,15 @@
             self.forwarder,
             self.book,
             self.clock,
-            self.readiness.find_refusal,
+            self.readiness.admission_error,
         )
         self.retirements = retirements.Retirements(
             self.feed, deps.keys, deps.decoders.retirement_state
         )
 
-    async def answer_peer(self, request: message.Request) -> message.Response:
+    async def handle_peer_request(
+        self, request: message.Request
+    ) -> message.Response:
         """Answers another node."""
         if request.path == commits.PATH:
             return await commits.answer(self.dependencies.store, request)
@@ -209,7 +211,7 @@
         if request.path == counts.PATH:
             return self.telling.answer(request)
         if request.path == loads.PATH:
-            self.take_load(loads.decode(request.body))
+            self.apply_load_state(loads.decode(request.body))
             return message.Response(200)
         return await self.relay(request)
 
@@ -231,7 +233,7 @@
         model.take_over(copy.sender)
         return message.Response(200)
 
-    def take_load(self, state: loads.LoadState) -> None:
+    def apply_load_state(self, state: loads.LoadState) -> None:
         """Takes over how a load on an engine stands."""
         server = self.roster.servers.get(state.server)
         if server is None:
@@ -246,13 +248,13 @@
         for duty in self.services.values():
             duty.coordinator.wake()
 
-    def catalogue_now(self) -> catalogue.Catalogue | None:
+    def current_catalogue(self) -> catalogue.Catalogue | None:
         """Returns the configuration in force; None before the first."""
         return self.cluster_state.catalogue
 
-    def limits_now(self) -> limits.Limits:
+    def current_limits(self) -> limits.Limits:
         """Returns what callers may send by the configuration in force."""
-        configured = self.catalogue_now()
+        configured = self.current_catalogue()
         allowed = configured.limits if configured else catalogue.Limits()
         return limits.Limits(
             body_bytes=allowed.body_bytes,
@@ -262,9 +264,9 @@
             idle_s=allowed.idle_s,
         )
 
-    def open_items(self, service: str) -> int:
+    def count_open_items(self, service: str) -> int:
         """Returns how many items of a service's open batches are unlisted."""
-        configured = self.catalogue_now()
+        configured = self.current_catalogue()
         if configured is None:
             return 0
         routes = {route.name for route in configured.routes_to(service)}
@@ -274,12 +276,12 @@
             if record.is_open() and record.batch.route in routes
         )
 
-    def duties_held(self) -> int:
+    def count_held_duties(self) -> int:
         """Returns how many duties this node holds."""
         duties = [*self.services.values(), *self.models.values()]
         return sum(duty.tenure.is_held() for duty in duties)
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Tells whether this node holds a service's duty."""
         return any(d.tenure.is_held() for d in self.services.values())
 
@@ -287,7 +289,7 @@
         self, position: changelog.Position
     ) -> changelog.Changes | None:
         """Follows a leader, or any node while the store does not answer."""
-        if self.leads() and not self.feed.is_lost:
+        if self.is_leader() and not self.feed.is_lost:
             return None
         return await self.peers.follow(
             position, self.book.interest, any_node=self.feed.is_lost
@@ -306,7 +308,7 @@
     async def _keep_batches(self) -> None:
         """Has the batches known that this node's duties need."""
         while True:
-            everything = self.leads() or leadership.is_small_fleet(self)
+            everything = self.is_leader() or leadership.is_small_fleet(self)
             models = {
                 duty.model
                 for duty in self.models.values()
@@ -316,7 +318,7 @@
             await self.clock.rest(WANT_PAUSE_S)
 
     def _feed_pause_s(self) -> float:
-        if self.leads():
+        if self.is_leader():
             return LEADER_PAUSE_S
         is_needed = self.book.readers or any(
             duty.coordinator.active for duty in self.services.values()
@@ -329,7 +331,7 @@
 
     def is_ready(self) -> bool:
         """Tells whether callers should be sent here."""
-        is_refusing = self.readiness.find_refusal() is not None
+        is_refusing = self.readiness.admission_error() is not None
         return not self.is_draining and not is_refusing
 
     def _take_node(self, entry: stores.Entry) -> None:
@@ -353,7 +355,7 @@
                 self._report_usage,
             ):
                 nursery.start_soon(task)
-            await self.drain_asked.wait()
+            await self.drain_requested.wait()
             await self._drain()
             nursery.cancel_scope.cancel()
 
@@ -382,7 +384,7 @@
         """Contends for each service that has model engines, and its models."""
         async with trio.open_nursery() as nursery:
             while True:
-                configured = self.catalogue_now()
+                configured = self.current_catalogue()
                 for name, service in (
                     configured.services.items() if configured else ()
                 ):
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -146,7 +146,9 @@
         self.scope = trio.CancelScope()
         site.network.add(name, self.scope.cancel)
         site.network.serve(name, settings.callers, self.frontend)
-        site.network.serve(name, settings.peers, self.runtime.answer_peer)
+        site.network.serve(
+            name, settings.peers, self.runtime.handle_peer_request
+        )
 
     async def run(self):
         with self.scope:
--- a/tests/platform/test_batches.py
+++ b/tests/platform/test_batches.py
@@ -89,7 +89,7 @@
             if how == "killed":
                 site.network.crash(leader.name)
             elif how == "stopped":
-                leader.runtime.drain_asked.set()
+                leader.runtime.drain_requested.set()
             else:
                 site.network.cut(leader.name, "store")
             left_at = trio.current_time()
--- a/tests/platform/test_configurations.py
+++ b/tests/platform/test_configurations.py
@@ -285,7 +285,7 @@
             for _ in range(200):
                 await trio.sleep(0.1)
                 for node in site.nodes:
-                    self.assertIsNone(node.runtime.readiness.find_doubt())
+                    self.assertIsNone(node.runtime.readiness.staleness_error())
 
 
 class LimitsTest(unittest.TestCase):
@@ -320,7 +320,7 @@
             site.write_configuration(configuration)
             await trio.sleep(1)
             for node in site.nodes:
-                allowed = node.runtime.limits_now()
+                allowed = node.runtime.current_limits()
                 self.assertEqual(allowed.body_bytes, body)
                 self.assertEqual(allowed.header_bytes, head)
                 self.assertEqual(allowed.header_timeout_s, head_s)
--- a/tests/platform/test_ended.py
+++ b/tests/platform/test_ended.py
@@ -175,7 +175,7 @@
             n
             for n in site.nodes
             if not n.runtime.models[DUTY].needs_batches()
-            and not n.runtime.leads()
+            and not n.runtime.is_leader()
         )
         await site.submit(node)
         book = node.runtime.book
--- a/tests/platform/test_lifecycle.py
+++ b/tests/platform/test_lifecycle.py
@@ -53,7 +53,7 @@
             leader = site.holder()
             other = site.other(leader)
             await site.submit(leader, items=8)
-            leader.runtime.drain_asked.set()
+            leader.runtime.drain_requested.set()
             await trio.sleep(0.1)
             self.assertFalse(leader.runtime.is_ready())
             response = await site.call(
@@ -81,7 +81,7 @@
                 for run in site.runs
                 if "-i" in run.request
             }
-            leader.runtime.drain_asked.set()
+            leader.runtime.drain_requested.set()
             stopped_at = trio.current_time()
             await site.read_all(site.other(leader))
             again = [
@@ -115,7 +115,7 @@
             await site.submit(site.other(holder), items=6)
             await trio.sleep(2)
             site.store.lag_s = lag_s
-            holder.runtime.drain_asked.set()
+            holder.runtime.drain_requested.set()
             stopped_at = trio.current_time()
             await trio.sleep(4)
             later = [run.at for run in site.runs if run.at > stopped_at]
--- a/tests/storage/test_pace.py
+++ b/tests/storage/test_pace.py
@@ -50,5 +50,5 @@
             site.write_configuration(configuration)
             await trio.sleep(1.2)
             for node in site.nodes:
-                known = node.runtime.catalogue_now()
+                known = node.runtime.current_catalogue()
                 self.assertEqual(known.version, 9)
