--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -407,7 +407,7 @@
     Break(
         "an event without end takes little memory",
         "platform/servers.py",
-        "if len(pending) > EVENT_BYTES_MOST:",
+        "if len(pending) > MAX_EVENT_BYTES:",
         "if False:",
         SITE + "test_endless",
     ),
--- a/src/kingcupscale/platform/cloud.py
+++ b/src/kingcupscale/platform/cloud.py
@@ -68,7 +68,7 @@
         headers = {
             "host": self.address,
             names.DUTY_HOLDER: holder.node,
-            names.FENCE: str(holder.fence),
+            names.FENCING_TOKEN: str(holder.fence),
         }
         request = message.json_request(path, body, headers)
         request.before_send = holder.check
--- a/src/kingcupscale/platform/servers.py
+++ b/src/kingcupscale/platform/servers.py
@@ -16,9 +16,9 @@
 # An order is acknowledged before it is carried out, so its answer is short.
 ORDER_TIMEOUT_S = 0.8
 # Reports name models and runs, in some ten bytes each.
-REPORT_BYTES_MOST = 256 * 1024
+MAX_REPORT_BYTES = 256 * 1024
 # An event holds a few tokens; a longer one never ends.
-EVENT_BYTES_MOST = 64 * 1024
+MAX_EVENT_BYTES = 64 * 1024
 
 _ORDER_OUTCOMES = {
     202: serverclient.OrderOutcome.ACCEPTED,
@@ -84,7 +84,7 @@
                 event = _decode_event(block, version)
                 version = event.version
                 yield event
-            if len(pending) > EVENT_BYTES_MOST:
+            if len(pending) > MAX_EVENT_BYTES:
                 raise serverclient.ServerError("an event without end", True)
         if pending.strip():
             raise serverclient.ServerError("stream ends inside an event", True)
@@ -141,7 +141,7 @@
                 server.entry.address,
                 request,
                 ORDER_TIMEOUT_S,
-                REPORT_BYTES_MOST,
+                MAX_REPORT_BYTES,
             )
         except exchange.ExchangeError as e:
             raise serverclient.ServerError(e.reason, e.request_left) from e
@@ -159,7 +159,7 @@
 
     Another server may have got the address; it answers 421 with its own id.
     """
-    if response.headers.get(names.LEAVING, "").strip() != "1":
+    if response.headers.get(names.SERVER_LEAVING, "").strip() != "1":
         return
     answered_by = response.headers.get(names.SERVER_ID)
     if response.status != 421 or answered_by == server.id:
--- a/tests/platform/serverstandin.py
+++ b/tests/platform/serverstandin.py
@@ -75,7 +75,7 @@
     async def __call__(self, request):
         response = await self.answer(request)
         if self.is_leaving:
-            response.headers[names.LEAVING] = "1"
+            response.headers[names.SERVER_LEAVING] = "1"
         return response
 
     async def answer(self, request):
@@ -188,7 +188,7 @@
     async def __call__(self, request):
         if self.is_down:
             return message.Response(503)
-        fence = int(request.headers[names.FENCE])
+        fence = int(request.headers[names.FENCING_TOKEN])
         holder = request.headers[names.DUTY_HOLDER]
         body = orjson.loads(request.body)
         if request.path == "/usage":
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -125,7 +125,7 @@
             server = site.servers["p2"]
 
             async def answer_as_another(request):
-                headers = {names.SERVER_ID: "px", names.LEAVING: "1"}
+                headers = {names.SERVER_ID: "px", names.SERVER_LEAVING: "1"}
                 return message.Response(421, headers)
 
             server.answer = answer_as_another
