--- a/tests/platform/standin.py
+++ b/tests/platform/harness.py
@@ -18,8 +18,8 @@
 from kingcupscale.platform import names
 from kingcupscale.platform import process
 from kingcupscale.web import message
+from tests.platform import fakestore
 from tests.platform import serverstandin
-from tests.platform import storestandin
 
 STORE = "store:1"
 CLOUD = "cloud:1"
@@ -165,7 +165,7 @@
         self.broken = []
         self.runs = []
         self.orders = []
-        self.store = storestandin.Store()
+        self.store = fakestore.Store()
         self.cloud = serverstandin.Cloud(self)
         self.network.serve("store", STORE, self.store)
         self.network.serve("cloud", CLOUD, self.cloud)
@@ -260,7 +260,7 @@
 
 
 @contextlib.asynccontextmanager
-async def opened(nodes=2, plan=None, is_started=True):
+async def launch(nodes=2, plan=None, is_started=True):
     """Yields a site, and ends it behind the body."""
     async with trio.open_nursery() as nursery:
         site = Site(nursery, nodes, plan)
--- a/tests/platform/serverstandin.py
+++ b/tests/platform/serverstandin.py
@@ -8,7 +8,7 @@
 
 from kingcupscale.platform import names
 from kingcupscale.web import message
-from tests.platform import storestandin
+from tests.platform import fakestore
 
 
 @attrs.define
@@ -83,7 +83,7 @@
         if expected != self.id:
             return message.Response(421, {names.SERVER_ID: self.id})
         if request.path == "/report":
-            return storestandin.json_response(
+            return fakestore.json_response(
                 {
                     "stage": "mixed",
                     "models": self.models(),
--- a/tests/platform/test_batches.py
+++ b/tests/platform/test_batches.py
@@ -8,13 +8,13 @@
 
 from kingcupscale.platform import names
 from tests import virtual
-from tests.platform import standin
+from tests.platform import harness
 
 
 class BatchTest(unittest.TestCase):
     @virtual.on_virtual_time
     async def test_batch_is_run_scored_and_read_from_any_node(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             one, two = site.nodes
             self.assertEqual((await site.submit(one)).status, 202)
             for node in (two, one):
@@ -22,7 +22,7 @@
                 self.assertEqual(len(results), 4)
                 for result in results:
                     self.assertEqual(result["state"], "done")
-                    self.assertEqual(result["text"], standin.text_of(10))
+                    self.assertEqual(result["text"], harness.text_of(10))
                     self.assertEqual(result["versions"], [1])
                     number = result["id"].rpartition("i")[2]
                     self.assertEqual(result["score"], f"signed-b1-s{number}")
@@ -30,7 +30,7 @@
 
     @virtual.on_virtual_time
     async def test_repeated_batch_is_kept_once(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             for node in (*site.nodes, *site.nodes):
                 self.assertEqual((await site.submit(node)).status, 202)
             await site.read_all(site.nodes[0])
@@ -40,7 +40,7 @@
 
     @virtual.on_virtual_time
     async def test_ended_batch_sends_nothing_more_and_stays_readable(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             for server in site.servers.values():
                 server.length = 200
             node = site.nodes[0]
@@ -61,7 +61,7 @@
 
     @virtual.on_virtual_time
     async def test_leader_lost_is_followed_without_double_positions(self):
-        async with standin.opened(nodes=3) as site:
+        async with harness.launch(nodes=3) as site:
             leader = site.holder()
             reader = site.other(leader)
             for server in site.servers.values():
@@ -79,7 +79,7 @@
     @parameterized.parameterized.expand([("killed",), ("stopped",), ("cut",)])
     @virtual.on_virtual_time
     async def test_texts_go_on_after_a_takeover(self, how):
-        async with standin.opened(nodes=3) as site:
+        async with harness.launch(nodes=3) as site:
             leader = site.holder()
             reader = site.other(leader)
             for server in site.servers.values():
@@ -95,7 +95,7 @@
             left_at = trio.current_time()
             results = await site.read_all(reader)
             self.assertEqual(
-                [r["text"] for r in results], [standin.text_of(200)] * 6
+                [r["text"] for r in results], [harness.text_of(200)] * 6
             )
             later = [
                 r for r in site.runs if r.at > left_at and "-i" in r.request
@@ -104,7 +104,7 @@
 
     @virtual.on_virtual_time
     async def test_node_that_the_store_turns_away_serves_batches(self):
-        async with standin.opened(nodes=3) as site:
+        async with harness.launch(nodes=3) as site:
             node = site.other(site.holder())
             site.network.cut(node.name, "store")
             await trio.sleep(3)
@@ -118,7 +118,7 @@
 
     @virtual.on_virtual_time
     async def test_stand_in_runs_batches_while_the_store_is_down(self):
-        async with standin.opened(nodes=3) as site:
+        async with harness.launch(nodes=3) as site:
             leader = site.holder()
             reader = site.other(leader)
             for server in site.servers.values():
@@ -143,7 +143,7 @@
 
     @virtual.on_virtual_time
     async def test_two_who_think_they_lead_list_each_item_once(self):
-        async with standin.opened(nodes=3) as site:
+        async with harness.launch(nodes=3) as site:
             leader = site.holder()
             for node in site.nodes:
                 if node is not leader:
@@ -161,12 +161,12 @@
 
     @virtual.on_virtual_time
     async def test_silent_stream_goes_on_elsewhere_after_its_last_event(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             site.servers["e1"].drop_after = 4
             await site.submit(site.nodes[0], items=6)
             results = await site.read_all(site.nodes[0])
             self.assertEqual(
-                {r["text"] for r in results}, {standin.text_of(10)}
+                {r["text"] for r in results}, {harness.text_of(10)}
             )
             resumed = [r for r in site.runs if r.resumed_after]
             self.assertTrue(resumed)
@@ -174,7 +174,7 @@
 
     @virtual.on_virtual_time
     async def test_text_with_a_gap_goes_on_before_the_gap(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             whole = site.servers["e1"].stream
 
             async def skip(run):
@@ -189,12 +189,12 @@
             await site.submit(site.nodes[0], items=6)
             results = await site.read_all(site.nodes[0])
             self.assertEqual(
-                [r["text"] for r in results], [standin.text_of(10)] * 6
+                [r["text"] for r in results], [harness.text_of(10)] * 6
             )
 
     @virtual.on_virtual_time
     async def test_score_is_no_signature_of_a_failure(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             for name in ("p1", "p2"):
                 site.servers[name].statuses = [500] * 50
             await site.submit(site.nodes[0], items=1)
@@ -203,7 +203,7 @@
 
     @virtual.on_virtual_time
     async def test_slow_engine_is_left_for_a_faster_one(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             for server in site.servers.values():
                 server.length = 60
             await site.submit(site.nodes[0], "warm", items=4)
@@ -222,7 +222,7 @@
     )
     @virtual.on_virtual_time
     async def test_item_that_cannot_be_done(self, _, status, most, least):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             for name in ("e1", "e2"):
                 site.servers[name].statuses = [status] * 50
             await site.submit(site.nodes[0], items=1)
@@ -234,11 +234,11 @@
 
     @virtual.on_virtual_time
     async def test_batch_survives_the_loss_of_all_nodes(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             await site.submit(site.nodes[0], items=8)
             for node in site.nodes:
                 site.network.crash(node.name)
-            site.nodes = [standin.Node(site, n, "a") for n in ("n8", "n9")]
+            site.nodes = [harness.Node(site, n, "a") for n in ("n8", "n9")]
             await site.start()
             results = await site.read_all(site.nodes[1])
             self.assertEqual(len(results), 8)
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -7,7 +7,7 @@
 
 from kingcupscale.platform import names
 from tests import virtual
-from tests.platform import standin
+from tests.platform import harness
 
 
 class CallTest(unittest.TestCase):
@@ -24,7 +24,7 @@
         [
             (f"{kind}_{name}", path, losing, status, field)
             for kind, path, losing, status in (
-                ("idempotent", standin.CALL_PATH, ["p1"], 200),
+                ("idempotent", harness.CALL_PATH, ["p1"], 200),
                 ("once_only", "/once/", ["p1", "p2"], 502),
             )
             for name, field in (
@@ -35,7 +35,7 @@
     )
     @virtual.on_virtual_time
     async def test_lost_answer(self, _, path, losing, status, field):
-        async with standin.opened(nodes=1) as site:
+        async with harness.launch(nodes=1) as site:
             for name in ("p1", "p2"):
                 server = site.servers[name]
                 answer = server.run
@@ -54,7 +54,7 @@
 
     @virtual.on_virtual_time
     async def test_servers_see_the_organisation_and_no_key(self):
-        async with standin.opened(nodes=1) as site:
+        async with harness.launch(nodes=1) as site:
             seen = []
             for name in ("p1", "p2"):
                 server = site.servers[name]
@@ -68,22 +68,22 @@
             response = await site.call(
                 site.nodes[0],
                 "POST",
-                standin.CALL_PATH + "1",
+                harness.CALL_PATH + "1",
                 **{names.REQUEST_ID: "q1", names.ORGANISATION: "two"},
             )
             self.assertEqual(response.status, 200)
             (headers,) = seen
-            self.assertEqual(headers[names.ORGANISATION], standin.ORGANISATION)
-            self.assertNotIn(standin.KEY, headers.values())
+            self.assertEqual(headers[names.ORGANISATION], harness.ORGANISATION)
+            self.assertNotIn(harness.KEY, headers.values())
             self.assertEqual(site.broken, [])
 
     @virtual.on_virtual_time
     async def test_full_servers_are_a_true_refusal(self):
-        async with standin.opened(nodes=1) as site:
+        async with harness.launch(nodes=1) as site:
             for name in ("p1", "p2"):
                 site.servers[name].is_full = True
             began_at = trio.current_time()
-            for path in (standin.CALL_PATH, "/once/"):
+            for path in (harness.CALL_PATH, "/once/"):
                 response = await self._send(site, path + "1")
                 self.assertEqual(response.status, 503)
                 self.assertGreater(float(response.headers["retry-after"]), 0)
@@ -92,13 +92,13 @@
 
     @virtual.on_virtual_time
     async def test_draining_server_gets_nothing_new(self):
-        async with standin.opened(nodes=1) as site:
+        async with harness.launch(nodes=1) as site:
             # The one in the node's own zone, which it prefers.
             site.servers["p2"].state = "draining"
             site.servers["p2"].enter()
             await trio.sleep(1)
             for number in range(8):
-                await self._send(site, standin.CALL_PATH + "1", f"q{number}")
+                await self._send(site, harness.CALL_PATH + "1", f"q{number}")
             self.assertEqual({run.server for run in site.runs}, {"p1"})
 
     @parameterized.parameterized.expand(
@@ -120,23 +120,23 @@
     )
     @virtual.on_virtual_time
     async def test_malformed_entry_names_no_server(self, _, value):
-        async with standin.opened(nodes=1) as site:
+        async with harness.launch(nodes=1) as site:
             site.store.put(names.SERVERS_PREFIX + "odd", value)
             await trio.sleep(1)
             self.assertNotIn("odd", site.nodes[0].runtime.roster.servers)
-            response = await self._send(site, standin.CALL_PATH + "1")
+            response = await self._send(site, harness.CALL_PATH + "1")
             self.assertEqual(response.status, 200)
 
     @virtual.on_virtual_time
     async def test_entry_lapsed_with_the_store_away_keeps_its_server(self):
-        async with standin.opened(nodes=1) as site:
+        async with harness.launch(nodes=1) as site:
             site.store.is_down = True
             await trio.sleep(4)
             for name in ("p1", "p2"):
                 site.store.remove(names.SERVERS_PREFIX + name)
             site.store.is_down = False
             await trio.sleep(1)
-            response = await self._send(site, standin.CALL_PATH + "1")
+            response = await self._send(site, harness.CALL_PATH + "1")
             self.assertEqual(response.status, 200)
             site.servers["p1"].enter()
             await trio.sleep(3)
--- a/tests/platform/test_configurations.py
+++ b/tests/platform/test_configurations.py
@@ -9,15 +9,15 @@
 from kingcupscale import deployment
 from kingcupscale.platform import names
 from tests import virtual
-from tests.platform import standin
+from tests.platform import harness
 
 
 class ConfigurationTest(unittest.TestCase):
-    async def _quote(self, site, node, key=standin.KEY):
+    async def _quote(self, site, node, key=harness.KEY):
         return await site.call(
             node,
             "POST",
-            standin.CALL_PATH + "1",
+            harness.CALL_PATH + "1",
             b"?",
             **{
                 names.REQUEST_ID: "q1",
@@ -28,13 +28,13 @@
 
     @virtual.on_virtual_time
     async def test_withdrawn_key_stops_on_a_node_the_store_turns_away(self):
-        async with standin.opened(nodes=3) as site:
+        async with harness.launch(nodes=3) as site:
             for node in site.nodes:
                 response = await self._quote(site, node)
                 self.assertEqual(response.status, 200)
             for cut in (site.holder(), site.other(site.holder())):
                 site.network.cut(cut.name, "store")
-            site.write_configuration(standin.make_configuration(2, ["new"]))
+            site.write_configuration(harness.make_configuration(2, ["new"]))
             await trio.sleep(4)
             for node in site.nodes:
                 self.assertEqual((await self._quote(site, node)).status, 401)
@@ -43,7 +43,7 @@
 
     @virtual.on_virtual_time
     async def test_node_that_hears_nobody_stops_admitting(self):
-        async with standin.opened(nodes=3) as site:
+        async with harness.launch(nodes=3) as site:
             alone = site.nodes[2]
             site.network.cut_off(alone.name)
             for server in site.servers:
@@ -57,7 +57,7 @@
 
     @virtual.on_virtual_time
     async def test_outage_for_all_nodes_stops_nobody(self):
-        async with standin.opened(nodes=3) as site:
+        async with harness.launch(nodes=3) as site:
             site.store.is_down = True
             await trio.sleep(30)
             for node in site.nodes:
@@ -65,7 +65,7 @@
 
     @virtual.on_virtual_time
     async def test_mirrors_stay_current_when_several_nodes_hold_duties(self):
-        async with standin.opened(nodes=10) as site:
+        async with harness.launch(nodes=10) as site:
             oldest = 0.0
             for _ in range(200):
                 await trio.sleep(0.1)
@@ -78,7 +78,7 @@
     async def test_nodes_the_store_turns_away_follow_the_one_it_serves(
         self, seed
     ):
-        async with standin.opened(nodes=3) as site:
+        async with harness.launch(nodes=3) as site:
             for node in site.nodes:
                 node.runtime.peers.rng = random.Random(f"{node.name}{seed}")
             await trio.sleep(0.13 * seed)
@@ -95,10 +95,10 @@
 
     @virtual.on_virtual_time
     async def test_older_or_unreadable_configuration_changes_nothing(self):
-        async with standin.opened() as site:
-            site.write_configuration(standin.make_configuration(5, ["k5"]))
+        async with harness.launch() as site:
+            site.write_configuration(harness.make_configuration(5, ["k5"]))
             await trio.sleep(1)
-            site.write_configuration(standin.make_configuration(4, ["k4"]))
+            site.write_configuration(harness.make_configuration(4, ["k4"]))
             site.store.put(names.CONFIGURATION_KEY, b'{"version":')
             await trio.sleep(1)
             for node in site.nodes:
@@ -107,8 +107,8 @@
 
     @virtual.on_virtual_time
     async def test_models_without_slots_end_no_node(self):
-        async with standin.opened(nodes=1, is_started=False) as site:
-            configuration = standin.make_configuration()
+        async with harness.launch(nodes=1, is_started=False) as site:
+            configuration = harness.make_configuration()
             configuration["services"].append(
                 {
                     "name": "idle",
@@ -125,11 +125,11 @@
 
     @virtual.on_virtual_time
     async def test_forgotten_history_is_read_anew(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             for node in site.nodes:
                 site.network.cut(node.name, "store")
             await trio.sleep(2)
-            site.write_configuration(standin.make_configuration(2, ["k2"]))
+            site.write_configuration(harness.make_configuration(2, ["k2"]))
             site.store.remove(names.SERVERS_PREFIX + "p1")
             site.store.forget_history()
             site.network.heal()
@@ -160,16 +160,16 @@
 class OldViewTest(unittest.TestCase):
     """Nobody is refused by a configuration that others may have replaced."""
 
-    STRANGE = ("/strange/1", standin.KEY)
-    ADDED = ("/added/1", standin.KEY)
-    WRONG = (standin.CALL_PATH + "1", "wrong")
-    GRANTED = (standin.CALL_PATH + "1", "granted")
-    KNOWN = (standin.CALL_PATH + "1", standin.KEY)
-    OPEN = (standin.SCORE_PATH + "1", "")
-    OWN_BATCH = (names.BATCHES_PATH + "b1", standin.KEY)
+    STRANGE = ("/strange/1", harness.KEY)
+    ADDED = ("/added/1", harness.KEY)
+    WRONG = (harness.CALL_PATH + "1", "wrong")
+    GRANTED = (harness.CALL_PATH + "1", "granted")
+    KNOWN = (harness.CALL_PATH + "1", harness.KEY)
+    OPEN = (harness.SCORE_PATH + "1", "")
+    OWN_BATCH = (names.BATCHES_PATH + "b1", harness.KEY)
     OTHERS_BATCH = (names.BATCHES_PATH + "b1", "key-of-two")
     OWN_BATCH_GRANTED = (names.BATCHES_PATH + "b1", "granted")
-    NO_BATCH = (names.BATCHES_PATH + "b0", standin.KEY)
+    NO_BATCH = (names.BATCHES_PATH + "b0", harness.KEY)
 
     async def _ask(self, site, node, asked):
         path, key = asked
@@ -187,7 +187,7 @@
     def _change(self, site):
         route = {
             "name": "added",
-            "host": standin.HOST,
+            "host": harness.HOST,
             "pathPrefix": "/added/",
             "kind": "idempotent",
             "timeoutMs": 2000,
@@ -195,7 +195,7 @@
             "service": "plain",
         }
         site.write_configuration(
-            standin.make_configuration(2, [standin.KEY, "granted"], [route])
+            harness.make_configuration(2, [harness.KEY, "granted"], [route])
         )
 
     def _delay(self, node, late_s):
@@ -233,7 +233,7 @@
     )
     @virtual.on_virtual_time
     async def test_request(self, _, late_s, is_outage, asked, expected):
-        async with standin.opened(nodes=3) as site:
+        async with harness.launch(nodes=3) as site:
             node = site.other(site.holder())
             await site.submit(node)
             await trio.sleep(1)
@@ -254,7 +254,7 @@
     @parameterized.parameterized.expand([(STRANGE,), (WRONG,), (KNOWN,)])
     @virtual.on_virtual_time
     async def test_node_without_a_configuration_refuses_for_now(self, asked):
-        async with standin.opened(nodes=1, is_started=False) as site:
+        async with harness.launch(nodes=1, is_started=False) as site:
             site.store.is_down = True
             await site.start()
             response = await self._ask(site, site.nodes[0], asked)
@@ -262,7 +262,7 @@
 
     @virtual.on_virtual_time
     async def test_node_that_catches_up_knows_again(self):
-        async with standin.opened(nodes=3) as site:
+        async with harness.launch(nodes=3) as site:
             site.store.is_down = True
             await trio.sleep(10)
             site.store.is_down = False
@@ -281,7 +281,7 @@
     @parameterized.parameterized.expand([(1,), (3,), (10,)])
     @virtual.on_virtual_time
     async def test_calm_nodes_are_never_in_doubt(self, count):
-        async with standin.opened(nodes=count) as site:
+        async with harness.launch(nodes=count) as site:
             for _ in range(200):
                 await trio.sleep(0.1)
                 for node in site.nodes:
@@ -314,8 +314,8 @@
     )
     @virtual.on_virtual_time
     async def test_listeners_follow(self, _, written, body, head, head_s, idle):
-        async with standin.opened(nodes=2) as site:
-            configuration = standin.make_configuration(version=5)
+        async with harness.launch(nodes=2) as site:
+            configuration = harness.make_configuration(version=5)
             configuration["limits"] = written
             site.write_configuration(configuration)
             await trio.sleep(1)
--- a/tests/platform/test_copies.py
+++ b/tests/platform/test_copies.py
@@ -8,7 +8,7 @@
 from kingcupscale.fleet import serverclient
 from kingcupscale.peering import handover
 from tests import virtual
-from tests.platform import standin
+from tests.platform import harness
 
 
 def _events(first, last, maker):
@@ -32,7 +32,7 @@
     async def test_texts_of_two_runs_are_not_joined(
         self, _, known, maker, fits
     ):
-        async with standin.opened(nodes=1) as site:
+        async with harness.launch(nodes=1) as site:
             runtime = site.nodes[0].runtime
             coordinator = runtime.services["engines"].coordinator
             coordinator.texts["i1"] = list(known)
@@ -51,8 +51,8 @@
     @virtual.on_virtual_time
     async def test_text_that_did_not_fit_is_sent_whole(self):
         """Load pattern: several nodes killed and back, two run the items."""
-        async with standin.opened(nodes=3) as site:
-            holder = site.holder(f"engines/{standin.MODEL}")
+        async with harness.launch(nodes=3) as site:
+            holder = site.holder(f"engines/{harness.MODEL}")
             for server in site.servers.values():
                 server.length = 400
             await site.submit(site.other(holder), items=6)
--- a/tests/platform/test_ended.py
+++ b/tests/platform/test_ended.py
@@ -10,9 +10,9 @@
 from kingcupscale.platform import names
 from kingcupscale.storage import store as stores
 from tests import virtual
-from tests.platform import standin
+from tests.platform import harness
 
-DUTY = f"engines/{standin.MODEL}"
+DUTY = f"engines/{harness.MODEL}"
 # Items and scoring calls of an ended batch may reach servers for this long.
 CANCEL_S = 3.0
 
@@ -86,7 +86,7 @@
     async def test_nothing_of_an_ended_batch_is_sent_by_an_old_view(
         self, _, is_scored, blind
     ):
-        async with standin.opened(nodes=3) as site:
+        async with harness.launch(nodes=3) as site:
             for name in ("e1", "e2"):
                 site.servers[name].length = 10 if is_scored else 60
             for name in ("p1", "p2"):
@@ -107,7 +107,7 @@
 
     @virtual.on_virtual_time
     async def test_item_is_kept_back_whose_batch_ends_while_it_connects(self):
-        async with standin.opened(nodes=1) as site:
+        async with harness.launch(nodes=1) as site:
             (node,) = site.nodes
             for name in ("e1", "e2"):
                 site.servers[name].length = 200
@@ -116,7 +116,7 @@
             coordinator = node.runtime.services["engines"].coordinator
             (sample,) = coordinator.open_samples()
             generator = coordinator.generator
-            coordinator.set_active(standin.MODEL, False)
+            coordinator.set_active(harness.MODEL, False)
             began = len(site.runs)
             server = node.runtime.roster.servers["e1"]
             async with trio.open_nursery() as nursery:
@@ -128,27 +128,27 @@
 
     @virtual.on_virtual_time
     async def test_item_that_was_given_up_before_its_task_began_stays_so(self):
-        async with standin.opened(nodes=1) as site:
+        async with harness.launch(nodes=1) as site:
             (node,) = site.nodes
             for name in ("e1", "e2"):
                 site.servers[name].length = 200
             coordinator = node.runtime.services["engines"].coordinator
             await site.submit(node, items=1)
-            coordinator.set_active(standin.MODEL, False)
+            coordinator.set_active(harness.MODEL, False)
             began = len(site.runs)
             async with trio.open_nursery() as nursery:
-                coordinator.set_active(standin.MODEL, True)
+                coordinator.set_active(harness.MODEL, True)
                 coordinator.dispatch(nursery)
                 (sample,) = coordinator.open_samples()
                 self.assertEqual(sample.stage, samples.Stage.GENERATING)
-                coordinator.set_active(standin.MODEL, False)
+                coordinator.set_active(harness.MODEL, False)
             self.assertEqual(len(site.runs), began)
 
     @virtual.on_virtual_time
     async def test_old_answer_of_another_node_is_no_sign_of_a_silent_store(
         self,
     ):
-        async with standin.opened(nodes=3) as site:
+        async with harness.launch(nodes=3) as site:
             for name in ("e1", "e2"):
                 site.servers[name].length = 60
             leader = site.holder(DUTY)
@@ -191,7 +191,7 @@
 
     @virtual.on_virtual_time
     async def test_end_reaches_the_items_of_a_batch_loaded_anew(self):
-        async with standin.opened(nodes=8) as site:
+        async with harness.launch(nodes=8) as site:
             for name in ("e1", "e2"):
                 site.servers[name].length = 300
             node = await self._make_loaded_anew(site)
@@ -206,7 +206,7 @@
 
     @virtual.on_virtual_time
     async def test_texts_go_on_in_a_batch_loaded_anew(self):
-        async with standin.opened(nodes=8) as site:
+        async with harness.launch(nodes=8) as site:
             for name in ("e1", "e2"):
                 site.servers[name].length = 60
             node = await self._make_loaded_anew(site)
@@ -217,7 +217,7 @@
             self.assertEqual(held, {node.runtime.book.records["b1"]})
             results = await site.read_all(site.other(node))
             self.assertEqual(
-                [r["text"] for r in results], [standin.text_of(60)] * 4
+                [r["text"] for r in results], [harness.text_of(60)] * 4
             )
 
 
@@ -226,7 +226,7 @@
     async def test_node_that_ended_a_batch_by_an_old_view_shows_all_results(
         self,
     ):
-        async with standin.opened(nodes=3) as site:
+        async with harness.launch(nodes=3) as site:
             runner = site.holder(DUTY)
             node, other = [n for n in site.nodes if n is not runner]
             await site.submit(other, items=4)
@@ -247,7 +247,7 @@
 class DrainingTest(unittest.TestCase):
     @virtual.on_virtual_time
     async def test_old_view_sends_no_calls_to_draining_servers(self):
-        async with standin.opened(nodes=3) as site:
+        async with harness.launch(nodes=3) as site:
             (node, *_) = site.nodes
             feed = node.runtime.feed
             feed.follow = feed.store.watch = _never
@@ -263,7 +263,7 @@
                 await site.call(
                     node,
                     "GET",
-                    f"{standin.CALL_PATH}{number}",
+                    f"{harness.CALL_PATH}{number}",
                     **{names.REQUEST_ID: f"r{number}"},
                 )
             late = [r.request for r in site.runs if r.at > drained_at]
--- a/tests/platform/test_endless.py
+++ b/tests/platform/test_endless.py
@@ -30,7 +30,7 @@
 from kingcupscale.storage import view as views
 from kingcupscale.web import exchange
 from tests.platform import endlessserver
-from tests.platform import standin
+from tests.platform import harness
 
 GUARD_S = 30.0
 HOLDER = tenures.Holder("n1", 1, lambda: None)
@@ -79,11 +79,11 @@
                     roster.ServerState.READY,
                     2 * CALLS_AT_ONCE,
                     1,
-                    {standin.MODEL: 1},
+                    {harness.MODEL: 1},
                 )
             )
         configured = documents.decode_catalogue(
-            orjson.dumps(standin.make_configuration())
+            orjson.dumps(harness.make_configuration())
         )
         self.catalogue = configured
         self.forwarder = forwarder.Forwarder(
@@ -110,12 +110,12 @@
         inbound = inbounds.Inbound(
             request_id=f"r{number}",
             method="POST",
-            host=standin.HOST,
+            host=harness.HOST,
             path=f"{path}{number}",
             query="",
             headers={},
             body=b"?",
-            key=standin.KEY,
+            key=harness.KEY,
             patience_s=PATIENCE_S,
             received_at=self.clock.monotonic(),
         )
@@ -139,9 +139,9 @@
             f"i{number}", "/x", {}, b"?", 300, "g", None, length_hint=200
         )
         batch = batches.Batch(
-            "b", "", "route", standin.HOST, 0, standin.MODEL, 1, 1, [item]
+            "b", "", "route", harness.HOST, 0, harness.MODEL, 1, 1, [item]
         )
-        route = self.catalogue.find_route(standin.HOST, standin.BATCH_PATH)
+        route = self.catalogue.find_route(harness.HOST, harness.BATCH_PATH)
         sample = samples.Sample(item, records.Record(batch, 0), route)
         return await self.generator.run(sample, self.roster.servers["engines"])
 
@@ -169,7 +169,7 @@
             (f"{kind}_{name}", kind, path)
             for kind in KINDS
             for name, path in (
-                ("idempotent", standin.CALL_PATH),
+                ("idempotent", harness.CALL_PATH),
                 ("once_only", "/once/"),
             )
         ]
@@ -243,7 +243,7 @@
     def test_report_and_order_end_in_time(self, kind):
         async def use(server, world):
             engine = world.roster.servers["engines"]
-            order = serverclient.VersionOrder(standin.MODEL, 2, True, HOLDER, 0)
+            order = serverclient.VersionOrder(harness.MODEL, 2, True, HOLDER, 0)
             with trio.fail_after(2 * servers.ORDER_TIMEOUT_S + SLACK_S):
                 with self.assertRaises(serverclient.ServerError):
                     await world.client.report(engine)
@@ -258,7 +258,7 @@
 
     @parameterized.parameterized.expand(
         [
-            ("idempotent", standin.CALL_PATH, True),
+            ("idempotent", harness.CALL_PATH, True),
             ("once_only", "/once/", False),
         ]
     )
--- a/tests/platform/test_herd.py
+++ b/tests/platform/test_herd.py
@@ -10,7 +10,7 @@
 from kingcupscale.batches import record as records
 from kingcupscale.platform import names
 from tests import virtual
-from tests.platform import standin
+from tests.platform import harness
 
 NODES = 12
 ITEMS = 16
@@ -23,13 +23,13 @@
 
 
 async def _submit(site, batch_id):
-    document = orjson.loads(standin.make_batch(batch_id, items=ITEMS))
+    document = orjson.loads(harness.make_batch(batch_id, items=ITEMS))
     for item in document["items"]:
         item["body"] = BODY
     return await site.call(
         site.nodes[0],
         "POST",
-        standin.BATCH_PATH + batch_id,
+        harness.BATCH_PATH + batch_id,
         orjson.dumps(document),
         **{names.REQUEST_ID: batch_id, names.DEADLINE_MS: "12000"},
     )
@@ -42,7 +42,7 @@
 
 
 def _start(site, name):
-    node = standin.Node(site, name, "a")
+    node = harness.Node(site, name, "a")
     site.nodes.append(node)
     site.nursery.start_soon(node.run)
     return node
@@ -52,7 +52,7 @@
     @parameterized.parameterized.expand([("one", 1), ("herd", NODES)])
     @virtual.on_virtual_time
     async def test_calls_are_answered_soon_after_a_start(self, _, count):
-        async with standin.opened(nodes=1) as site:
+        async with harness.launch(nodes=1) as site:
             for number in range(20):
                 await _submit(site, f"b{number}")
                 await site.read_all(site.nodes[0], f"b{number}")
@@ -77,7 +77,7 @@
             response = await site.call(
                 node,
                 "POST",
-                standin.CALL_PATH + "1",
+                harness.CALL_PATH + "1",
                 b"?",
                 **{
                     names.REQUEST_ID: f"{node.name}-{number}",
@@ -98,7 +98,7 @@
     async def test_ended_batch_takes_little_and_is_read_all_the_same(
         self, _, value_bytes
     ):
-        async with standin.opened(nodes=1) as site:
+        async with harness.launch(nodes=1) as site:
             book = site.nodes[0].runtime.book
             book.part_bytes = value_bytes
             await _submit(site, "b1")
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -11,7 +11,7 @@
 from kingcupscale.storage import tenure as tenures
 from kingcupscale.web import message
 from tests import virtual
-from tests.platform import standin
+from tests.platform import harness
 
 HOLDER = tenures.Holder("n1", 1, lambda: None)
 PLAIN = ("p1", "p2")
@@ -30,7 +30,7 @@
 
 async def _call(site):
     for number in range(8):
-        await _send(site, standin.CALL_PATH + "1", f"q{number}")
+        await _send(site, harness.CALL_PATH + "1", f"q{number}")
 
 
 async def _call_once(site):
@@ -73,7 +73,7 @@
     )
     @virtual.on_virtual_time
     async def test_nothing_new_reaches_it(self, _, leaving, use, status):
-        async with standin.opened(nodes=1) as site:
+        async with harness.launch(nodes=1) as site:
             server = site.servers[leaving[1]]
             server.is_leaving = True
             server.is_full = status == 503
@@ -85,7 +85,7 @@
             self.assertLessEqual(begun, server.slots)
             site.name_version(3)
             for number in range(8):
-                await _send(site, standin.CALL_PATH + "1", f"r{number}")
+                await _send(site, harness.CALL_PATH + "1", f"r{number}")
             await site.submit(site.nodes[0], "b9")
             await site.read_all(site.nodes[0], "b9", seconds=5)
             self.assertEqual(len(server.begun), begun)
@@ -101,7 +101,7 @@
     )
     @virtual.on_virtual_time
     async def test_until_it_starts_again(self, _, goes, is_leaving):
-        async with standin.opened(nodes=1) as site:
+        async with harness.launch(nodes=1) as site:
             server = site.servers["p2"]
             server.is_leaving = True
             await _call(site)
@@ -121,7 +121,7 @@
 
     @virtual.on_virtual_time
     async def test_another_server_at_the_address_says_it_of_itself(self):
-        async with standin.opened(nodes=1) as site:
+        async with harness.launch(nodes=1) as site:
             server = site.servers["p2"]
 
             async def answer_as_another(request):
@@ -136,7 +136,7 @@
 
     @virtual.on_virtual_time
     async def test_late_copy_of_an_answer_settles_no_order(self):
-        async with standin.opened(nodes=1) as site:
+        async with harness.launch(nodes=1) as site:
             node = site.nodes[0].runtime
             server = site.servers["e1"]
 
@@ -145,7 +145,7 @@
                 return message.Response(200, headers, b"{}")
 
             server.answer = answer_with_a_copy
-            order = serverclient.VersionOrder(standin.MODEL, 2, True, HOLDER, 0)
+            order = serverclient.VersionOrder(harness.MODEL, 2, True, HOLDER, 0)
             with self.assertRaises(serverclient.ServerError) as caught:
                 await node.dependencies.servers.order(
                     node.roster.servers["e1"], order
@@ -155,7 +155,7 @@
     @virtual.on_virtual_time
     async def test_each_node_stops_by_its_own_answers(self):
         """Each of several nodes sends at most what it has under way."""
-        async with standin.opened(nodes=6) as site:
+        async with harness.launch(nodes=6) as site:
             server = site.servers["p2"]
             server.is_leaving = True
             for node in site.nodes:
@@ -163,7 +163,7 @@
                     await site.call(
                         node,
                         "POST",
-                        standin.CALL_PATH + "1",
+                        harness.CALL_PATH + "1",
                         b"?",
                         **{
                             names.REQUEST_ID: f"{node.name}-{number}",
--- a/tests/platform/test_lifecycle.py
+++ b/tests/platform/test_lifecycle.py
@@ -9,20 +9,20 @@
 from kingcupscale.platform import names
 from kingcupscale.storage import tenure as tenures
 from tests import virtual
-from tests.platform import standin
+from tests.platform import harness
 
 
 class UsageTest(unittest.TestCase):
     @virtual.on_virtual_time
     async def test_windows_are_reported_once_with_all_counts(self):
-        async with standin.opened(nodes=3) as site:
+        async with harness.launch(nodes=3) as site:
             sent = 0
             for number in range(40):
                 node = site.nodes[number % 3]
                 response = await site.call(
                     node,
                     "POST",
-                    standin.CALL_PATH + "1",
+                    harness.CALL_PATH + "1",
                     **{names.REQUEST_ID: f"q{number}"},
                 )
                 sent += response.status == 200
@@ -49,7 +49,7 @@
 class StopTest(unittest.TestCase):
     @virtual.on_virtual_time
     async def test_planned_stop_hands_over_and_cuts_nothing(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             leader = site.holder()
             other = site.other(leader)
             await site.submit(leader, items=8)
@@ -59,7 +59,7 @@
             response = await site.call(
                 leader,
                 "POST",
-                standin.CALL_PATH + "1",
+                harness.CALL_PATH + "1",
                 **{names.REQUEST_ID: "q1"},
             )
             self.assertEqual(response.status, 200)
@@ -70,7 +70,7 @@
 
     @virtual.on_virtual_time
     async def test_planned_stop_hands_over_the_last_of_all_texts(self):
-        async with standin.opened(nodes=3) as site:
+        async with harness.launch(nodes=3) as site:
             leader = site.holder()
             for server in site.servers.values():
                 server.length = 200
@@ -108,8 +108,8 @@
     )
     @virtual.on_virtual_time
     async def test_samples_go_on_at_once_elsewhere(self, _, nodes, lag_s):
-        async with standin.opened(nodes=nodes) as site:
-            holder = site.holder(f"engines/{standin.MODEL}")
+        async with harness.launch(nodes=nodes) as site:
+            holder = site.holder(f"engines/{harness.MODEL}")
             for server in site.servers.values():
                 server.length = 400
             await site.submit(site.other(holder), items=6)
@@ -130,8 +130,8 @@
     @parameterized.parameterized.expand([("few_nodes", 3), ("many_nodes", 12)])
     @virtual.on_virtual_time
     async def test_samples_go_on_soon_elsewhere(self, _, nodes):
-        async with standin.opened(nodes=nodes) as site:
-            holder = site.holder(f"engines/{standin.MODEL}")
+        async with harness.launch(nodes=nodes) as site:
+            holder = site.holder(f"engines/{harness.MODEL}")
             for server in site.servers.values():
                 server.length = 600
             await site.submit(site.other(holder), items=6)
@@ -148,15 +148,15 @@
     @virtual.on_virtual_time
     async def test_holder_that_lives_keeps_its_samples(self):
         """Copies that do not arrive are no reason to run them twice."""
-        async with standin.opened(nodes=12) as site:
-            holder = site.holder(f"engines/{standin.MODEL}")
+        async with harness.launch(nodes=12) as site:
+            holder = site.holder(f"engines/{harness.MODEL}")
             for server in site.servers.values():
                 server.length = 600
             await site.submit(site.other(holder), items=6)
             await trio.sleep(3)
             begun = len(site.runs)
             holder.runtime.models[
-                f"engines/{standin.MODEL}"
+                f"engines/{harness.MODEL}"
             ].copier.send = _send_nothing
             await trio.sleep(4)
             self.assertEqual(len(site.runs), begun)
@@ -164,8 +164,8 @@
     @virtual.on_virtual_time
     async def test_holder_that_was_slow_for_a_moment_is_left_alone(self):
         """A question that was not answered counts until the next copy."""
-        async with standin.opened(nodes=12) as site:
-            duty = f"engines/{standin.MODEL}"
+        async with harness.launch(nodes=12) as site:
+            duty = f"engines/{harness.MODEL}"
             holder = site.holder(duty)
             for server in site.servers.values():
                 server.length = 600
@@ -193,7 +193,7 @@
 class PresenceTest(unittest.TestCase):
     @virtual.on_virtual_time
     async def test_entry_that_was_removed_is_written_again(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             key = tenures.NODES_PREFIX + "n1"
             # As if an earlier entry came late, under a lease that then ended.
             site.store.remove(key)
@@ -206,7 +206,7 @@
 
     @virtual.on_virtual_time
     async def test_nodes_without_duty_seldom_renew_their_lease(self):
-        async with standin.opened(nodes=12) as site:
+        async with harness.launch(nodes=12) as site:
             await trio.sleep(5)
             renewals = site.store.calls["kv-keep"]
             await trio.sleep(40)
@@ -218,7 +218,7 @@
 class SuccessionTest(unittest.TestCase):
     @virtual.on_virtual_time
     async def test_copies_pass_over_a_successor_that_is_gone(self):
-        async with standin.opened(nodes=3) as site:
+        async with harness.launch(nodes=3) as site:
             holder = site.holder()
             runtime = holder.runtime
             name, _ = runtime.peers.successor(
@@ -237,7 +237,7 @@
 class RetirementTest(unittest.TestCase):
     @virtual.on_virtual_time
     async def test_vm_with_a_disk_is_answered_to_be_empty(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             site.store.put(
                 names.RETIREMENTS_PREFIX + "disk-1", b'{"durationS":8}'
             )
--- a/tests/platform/test_overload.py
+++ b/tests/platform/test_overload.py
@@ -6,7 +6,7 @@
 import trio
 
 from tests import virtual
-from tests.platform import standin
+from tests.platform import harness
 
 ITEMS = 48
 # Two servers with four slots each, of which scoring leaves one free.
@@ -19,7 +19,7 @@
     @parameterized.parameterized.expand([(0.25,), (0.4,), (0.7,), (1.2,)])
     @virtual.on_virtual_time
     async def test_scoring_goes_on_when_all_answers_are_late(self, answer_s):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             for name in ("p1", "p2"):
                 site.servers[name].event_s = answer_s
             began_at = trio.current_time()
--- a/tests/platform/test_schedules.py
+++ b/tests/platform/test_schedules.py
@@ -9,7 +9,7 @@
 from kingcupscale import leadership
 from kingcupscale.platform import names
 from tests import virtual
-from tests.platform import standin
+from tests.platform import harness
 
 FAULT_PAUSE_S = 1.2
 # A position that was read at one node is there at all others after this.
@@ -128,7 +128,7 @@
         self.site.nodes.remove(node)
         self.replaced += 1
         zone = node.runtime.settings.zone
-        added = standin.Node(self.site, f"r{self.replaced}", zone)
+        added = harness.Node(self.site, f"r{self.replaced}", zone)
         self.site.nodes.append(added)
         self.site.nursery.start_soon(added.run)
         self._trouble([n.name for n in self.site.nodes], 0.0)
@@ -179,7 +179,7 @@
     @virtual.on_virtual_time
     async def test_batches_end_whole_and_read_alike(self, _, nodes, seed):
         async with trio.open_nursery() as nursery:
-            site = standin.Site(nursery, nodes=nodes)
+            site = harness.Site(nursery, nodes=nodes)
             await site.start()
             for server in site.servers.values():
                 server.length = 20
--- a/tests/platform/test_slow.py
+++ b/tests/platform/test_slow.py
@@ -7,12 +7,12 @@
 
 from kingcupscale.platform import names
 from tests import virtual
-from tests.platform import standin
+from tests.platform import harness
 
 STREAM_PATH = "/stream/"
 STREAM_ROUTE = {
     "name": "stream",
-    "host": standin.HOST,
+    "host": harness.HOST,
     "pathPrefix": STREAM_PATH,
     "kind": "non_idempotent",
     "streaming": True,
@@ -46,29 +46,29 @@
     )
     @virtual.on_virtual_time
     async def test_slow_engines_finish_their_texts(self, _, event_s, length):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             for name in ENGINES:
                 site.servers[name].event_s = event_s
                 site.servers[name].length = length
             await site.submit(site.nodes[0], items=2)
             results = await site.read_all(site.nodes[0], seconds=120)
             texts = [result["text"] for result in results]
-            self.assertEqual(texts, 2 * [standin.text_of(length)])
+            self.assertEqual(texts, 2 * [harness.text_of(length)])
 
     @virtual.on_virtual_time
     async def test_stalled_engine_is_left_for_another(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             _trickle(site.servers["e1"], 0.3)
             await site.submit(site.nodes[0])
             results = await site.read_all(site.nodes[0])
             texts = [result["text"] for result in results]
-            self.assertEqual(texts, 4 * [standin.text_of(10)])
+            self.assertEqual(texts, 4 * [harness.text_of(10)])
 
 
 class StreamTest(unittest.TestCase):
     async def _open(self, site):
         site.write_configuration(
-            standin.make_configuration(version=2, routes=[STREAM_ROUTE])
+            harness.make_configuration(version=2, routes=[STREAM_ROUTE])
         )
         await trio.sleep(1)
         return await site.call(
@@ -79,13 +79,13 @@
             **{
                 names.REQUEST_ID: "q1",
                 names.DEADLINE_MS: "6000",
-                names.MODEL: standin.MODEL,
+                names.MODEL: harness.MODEL,
             },
         )
 
     @virtual.on_virtual_time
     async def test_slow_stream_is_whole(self):
-        async with standin.opened(nodes=1) as site:
+        async with harness.launch(nodes=1) as site:
             for name in ENGINES:
                 site.servers[name].event_s = 1.1
                 site.servers[name].length = 5
@@ -94,7 +94,7 @@
 
     @virtual.on_virtual_time
     async def test_stalled_stream_ends_with_its_time(self):
-        async with standin.opened(nodes=1) as site:
+        async with harness.launch(nodes=1) as site:
             for name in ENGINES:
                 _trickle(site.servers[name], 0.3)
             began_at = trio.current_time()
--- a/tests/platform/test_spreading.py
+++ b/tests/platform/test_spreading.py
@@ -8,10 +8,10 @@
 from kingcupscale import leadership
 from kingcupscale.storage import tenure as tenures
 from tests import virtual
+from tests.platform import harness
 from tests.platform import serverstandin
-from tests.platform import standin
 
-MODELS = (standin.MODEL, "beta")
+MODELS = (harness.MODEL, "beta")
 DUTIES = ("engines", *(f"engines/{model}" for model in MODELS))
 FEW = leadership.MIN_NODES_TO_DISTRIBUTE - 1
 MANY = leadership.MIN_NODES_TO_DISTRIBUTE + 1
@@ -27,8 +27,8 @@
 
 async def open_site(nursery, nodes):
     """Returns a site with several models, whose nodes have not started."""
-    site = standin.Site(nursery, nodes=nodes)
-    site.write_configuration(standin.make_configuration(models=MODELS))
+    site = harness.Site(nursery, nodes=nodes)
+    site.write_configuration(harness.make_configuration(models=MODELS))
     site.add_server(serverstandin.Server(site, "e3", "engines", "a", MODELS[1]))
     return site
 
@@ -153,7 +153,7 @@
             site.network.crash(node.name)
         await trio.sleep(away_s)
         site.nodes = [
-            standin.Node(site, node.name, node.runtime.settings.zone)
+            harness.Node(site, node.name, node.runtime.settings.zone)
             for node in site.nodes
         ]
 
--- a/tests/platform/test_submissions.py
+++ b/tests/platform/test_submissions.py
@@ -8,7 +8,7 @@
 
 from kingcupscale.platform import names
 from tests import virtual
-from tests.platform import standin
+from tests.platform import harness
 
 ITEM = {"id": "a", "path": "/x", "body": ""}
 
@@ -100,12 +100,12 @@
     )
     @virtual.on_virtual_time
     async def test_bad_batch_changes_nothing(self, _, body, status):
-        async with standin.opened(nodes=1) as site:
+        async with harness.launch(nodes=1) as site:
             revision = site.store.revision
             response = await site.call(
                 site.nodes[0],
                 "POST",
-                standin.BATCH_PATH + "b1",
+                harness.BATCH_PATH + "b1",
                 body,
                 **{names.REQUEST_ID: "b1"},
             )
@@ -127,11 +127,11 @@
     )
     @virtual.on_virtual_time
     async def test_unknown_fields_are_left_out(self, _, body):
-        async with standin.opened(nodes=1) as site:
+        async with harness.launch(nodes=1) as site:
             response = await site.call(
                 site.nodes[0],
                 "POST",
-                standin.BATCH_PATH + "b1",
+                harness.BATCH_PATH + "b1",
                 body,
                 **{names.REQUEST_ID: "b1"},
             )
@@ -140,7 +140,7 @@
     @virtual.on_virtual_time
     async def test_batch_waits_for_the_store_and_is_then_kept(self):
         async with trio.open_nursery() as nursery:
-            site = standin.Site(nursery)
+            site = harness.Site(nursery)
             await site.start()
             site.store.is_down = True
 
@@ -156,7 +156,7 @@
 
     @virtual.on_virtual_time
     async def test_refusal_without_the_store_is_true_and_names_a_time(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             site.store.is_down = True
             response = await site.submit(site.nodes[0])
             self.assertEqual(response.status, 503)
@@ -167,7 +167,7 @@
 
     @virtual.on_virtual_time
     async def test_batch_that_may_be_kept_is_not_said_to_be_refused(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             site.store.loses_answers = True
             response = await site.submit(site.nodes[0])
             self.assertIn(response.status, (500, 502, 504))
@@ -185,7 +185,7 @@
     async def test_batch_is_shown_to_its_organisation_only(
         self, _, headers, batch_id, status
     ):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             await site.submit(site.nodes[0])
             for method in ("GET", "DELETE"):
                 path = names.BATCHES_PATH + batch_id
@@ -196,7 +196,7 @@
 
     @virtual.on_virtual_time
     async def test_unknown_batch_without_the_store_is_no_404(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             site.store.is_down = True
             status, _ = await site.read(site.nodes[0], "b9")
             self.assertEqual(status, 503)
--- a/tests/platform/test_versions.py
+++ b/tests/platform/test_versions.py
@@ -7,13 +7,13 @@
 from kingcupscale.batches import batch
 from kingcupscale.peering import handover
 from tests import virtual
-from tests.platform import standin
+from tests.platform import harness
 
 
 class VersionTest(unittest.TestCase):
     @virtual.on_virtual_time
     async def test_result_of_an_ended_batch_is_not_listed_in_another(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             site.name_version(2)
             await trio.sleep(4)
             old = batch.Result(
@@ -26,14 +26,14 @@
             await site.submit(site.nodes[0], "b1", minimum=2)
             for result in await site.read_all(site.nodes[0], "b1"):
                 self.assertEqual(result["versions"], [2])
-                self.assertEqual(result["text"], standin.text_of(10))
+                self.assertEqual(result["text"], harness.text_of(10))
 
     @virtual.on_virtual_time
     async def test_version_that_a_node_was_not_told_is_asked_for(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             for server in site.servers.values():
                 if server.versions:
-                    server.versions[standin.MODEL] = 2
+                    server.versions[harness.MODEL] = 2
             await site.submit(site.nodes[0])
             results = await site.read_all(site.nodes[1])
             versions = [result["versions"] for result in results]
@@ -41,7 +41,7 @@
 
     @virtual.on_virtual_time
     async def test_engines_alternate_and_no_text_is_too_old(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             node = site.nodes[0]
             for step in range(6):
                 if step >= 2:
@@ -63,7 +63,7 @@
 
     @virtual.on_virtual_time
     async def test_paused_holder_gives_no_order_after_its_lease(self):
-        async with standin.opened(nodes=3) as site:
+        async with harness.launch(nodes=3) as site:
             leader = site.holder()
             site.network.cut(leader.name, "store")
             await trio.sleep(4)
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -8,7 +8,7 @@
 from kingcupscale.platform import names
 from kingcupscale.web import exchange
 from kingcupscale.web import message
-from tests.platform import standin
+from tests.platform import harness
 
 CALL_LIMIT_S = 2.0
 BATCH_LIMIT_S = 12.0
@@ -77,7 +77,7 @@
         if result["state"] != "done":
             self.note("given up", batch_id, result["id"])
             return
-        if result["text"] != standin.text_of(40):
+        if result["text"] != harness.text_of(40):
             self.note("text", batch_id, result["id"])
         number = result["id"].rpartition("i")[2]
         if result["score"] != f"signed-{batch_id}-s{number}":
@@ -134,8 +134,8 @@
     async def send(self, node, method, path, body=b"", limit_s=2.0, **fields):
         """Returns the status and the answer; status 0 for none."""
         headers = {
-            "host": standin.HOST,
-            names.KEY: standin.KEY,
+            "host": harness.HOST,
+            names.KEY: harness.KEY,
             names.DEADLINE_MS: str(int(limit_s * 1000)),
             **{name.replace("_", "-"): text for name, text in fields.items()},
         }
@@ -162,7 +162,7 @@
     async def run(self):
         """Calls until cancelled."""
         for number in range(10**9):
-            path = self.rng.choice([standin.CALL_PATH, "/once/"])
+            path = self.rng.choice([harness.CALL_PATH, "/once/"])
             request_id = f"{self.name}-{number}"
             self.observed.asked += 1
             status, answer = await self.send(
@@ -207,12 +207,12 @@
         return len(observed.results[batch_id]) == items
 
     async def _submit(self, batch_id, items):
-        body = standin.make_batch(batch_id, items=items)
+        body = harness.make_batch(batch_id, items=items)
         while True:
             status, _ = await self.send(
                 self.pick(),
                 "POST",
-                standin.BATCH_PATH + batch_id,
+                harness.BATCH_PATH + batch_id,
                 body,
                 BATCH_LIMIT_S,
                 **{names.REQUEST_ID: batch_id},
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from tests.platform import standin
+from tests.platform import harness
 
 PAUSE_LEAST_S = 0.2
 PAUSE_MOST_S = 1.5
@@ -208,7 +208,7 @@
         self.world.configurations += 1
         number = self.world.configurations
         self.world.write_configuration(
-            standin.make_configuration(
-                number, keys=(standin.KEY, f"further-{number}")
+            harness.make_configuration(
+                number, keys=(harness.KEY, f"further-{number}")
             )
         )
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -16,9 +16,9 @@
 from kingcupscale.platform import names
 from kingcupscale.web import limits
 from kingcupscale.web import server
+from tests.platform import fakestore
+from tests.platform import harness
 from tests.platform import serverstandin
-from tests.platform import standin
-from tests.platform import storestandin
 from tests.soak import proxy as proxies
 
 NODES = 4
@@ -88,7 +88,7 @@
         # The call is done even if its sender has given up by then.
         self.nursery.start_soon(self._do_later, request)
         await trio.sleep(10.0)
-        return storestandin.json_response({}, 503)
+        return fakestore.json_response({}, 503)
 
     async def _do_later(self, request):
         await trio.sleep(self.rng.uniform(0.0, 2.0))
@@ -217,7 +217,7 @@
         self.nursery = nursery
         self.rng = rng
         self.host = Host()
-        self.store = storestandin.Store()
+        self.store = fakestore.Store()
         self.unreliable = UnreliableStore(self.store, nursery, rng)
         self.broken = []
         self.runs = []
@@ -241,9 +241,9 @@
                 f"e{number}",
                 "engines" if is_engine else "plain",
                 "ab"[number % 2],
-                standin.MODEL if is_engine else "",
+                harness.MODEL if is_engine else "",
             )
-        self.write_configuration(standin.make_configuration())
+        self.write_configuration(harness.make_configuration())
         for number in range(NODES):
             node = NodeProcess(self, f"n{number}", "ab"[number % 2])
             for link in node.links():
@@ -289,9 +289,9 @@
     def name_version(self):
         """Names the next weight version as the trainer does."""
         self.named_version += 1
-        value = {"model": standin.MODEL, "version": self.named_version}
+        value = {"model": harness.MODEL, "version": self.named_version}
         self.store.put(
-            names.VERSIONS_PREFIX + standin.MODEL, orjson.dumps(value)
+            names.VERSIONS_PREFIX + harness.MODEL, orjson.dumps(value)
         )
 
     def heal(self):
--- a/tests/storage/test_pace.py
+++ b/tests/storage/test_pace.py
@@ -8,7 +8,7 @@
 from kingcupscale.peering import pace
 from kingcupscale.peering import relay
 from tests import virtual
-from tests.platform import standin
+from tests.platform import harness
 
 
 class PaceTest(unittest.TestCase):
@@ -30,7 +30,7 @@
     @virtual.on_virtual_time
     async def test_followed_node_answers_a_bounded_number(self):
         """Load pattern: servers change their entries all the time."""
-        async with standin.opened(nodes=60) as site:
+        async with harness.launch(nodes=60) as site:
             leader = site.holder().runtime
             answers = 0
             follow = leader.relay.__call__
@@ -46,7 +46,7 @@
                     server.enter()
                 await trio.sleep(0.1)
             self.assertLess(answers / 10, 130)
-            configuration = standin.make_configuration(version=9)
+            configuration = harness.make_configuration(version=9)
             site.write_configuration(configuration)
             await trio.sleep(1.2)
             for node in site.nodes:
