--- a/tests/platform/fakestore.py
+++ b/tests/platform/fakestore.py
@@ -25,17 +25,17 @@
         self.history_from = 0
         self.revision = 10
         self.leases = {}
-        self.lag_s = 0.004
+        self.latency_s = 0.004
         self.link_bytes_per_s = 0.0
         self.link_free_at = 0.0
         self.is_down = False
-        self.loses_answers = False
+        self.drops_commit_responses = False
         self.changed = trio.Event()
         self.calls = collections.Counter()
         self.lease_number = 0
 
     async def __call__(self, request):
-        await trio.sleep(self.lag_s)
+        await trio.sleep(self.latency_s)
         name = request.path.split("/")[1]
         self.calls[name] += 1
         if self.is_down:
@@ -44,7 +44,7 @@
         query = dict(urllib.parse.parse_qsl(request.query))
         handler = getattr(self, "on_" + name.replace("-", "_"))
         response = await handler(request, query)
-        if self.loses_answers and name == "kv-txn":
+        if self.drops_commit_responses and name == "kv-txn":
             await trio.sleep_forever()
         await self.send(len(response.body))
         return response
@@ -92,7 +92,7 @@
         changed, self.changed = self.changed, trio.Event()
         changed.set()
 
-    def forget_history(self):
+    def compact(self):
         self.history.clear()
         self.history_from = self.revision
 
--- a/tests/platform/harness.py
+++ b/tests/platform/harness.py
@@ -162,7 +162,7 @@
         self.nursery = nursery
         self.clock = virtualtime.VirtualClock()
         self.network = networks.Network(nursery, plan or faults.FaultPlan())
-        self.broken = []
+        self.violations = []
         self.runs = []
         self.orders = []
         self.store = fakestore.Store()
@@ -193,7 +193,7 @@
     def write_configuration(self, configuration):
         self.store.put(names.CONFIGURATION_KEY, orjson.dumps(configuration))
 
-    def name_version(self, version, model=MODEL):
+    def set_target_version(self, version, model=MODEL):
         self.store.put(
             names.VERSIONS_PREFIX + model,
             orjson.dumps({"model": model, "version": version}),
--- a/tests/platform/serverstandin.py
+++ b/tests/platform/serverstandin.py
@@ -94,7 +94,7 @@
         if request.path == "/order":
             return self.take_order(orjson.loads(request.body))
         if names.KEY in request.headers:
-            self.site.broken.append("a key reached a server")
+            self.site.violations.append("a key reached a server")
         return await self.run(request)
 
     def take_order(self, order):
--- a/tests/platform/test_batches.py
+++ b/tests/platform/test_batches.py
@@ -26,7 +26,7 @@
                     self.assertEqual(result["versions"], [1])
                     number = result["id"].rpartition("i")[2]
                     self.assertEqual(result["score"], f"signed-b1-s{number}")
-            self.assertEqual(site.broken, [])
+            self.assertEqual(site.violations, [])
 
     @virtual.on_virtual_time
     async def test_repeated_batch_is_kept_once(self):
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -75,7 +75,7 @@
             (headers,) = seen
             self.assertEqual(headers[names.ORGANISATION], harness.ORGANISATION)
             self.assertNotIn(harness.KEY, headers.values())
-            self.assertEqual(site.broken, [])
+            self.assertEqual(site.violations, [])
 
     @virtual.on_virtual_time
     async def test_full_servers_are_a_true_refusal(self):
--- a/tests/platform/test_configurations.py
+++ b/tests/platform/test_configurations.py
@@ -131,7 +131,7 @@
             await trio.sleep(2)
             site.write_configuration(harness.make_configuration(2, ["k2"]))
             site.store.remove(names.SERVERS_PREFIX + "p1")
-            site.store.forget_history()
+            site.store.compact()
             site.network.heal()
             await trio.sleep(5)
             for node in site.nodes:
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -44,7 +44,7 @@
 
 
 async def _order(site):
-    site.name_version(2)
+    site.set_target_version(2)
     await trio.sleep(3)
 
 
@@ -83,7 +83,7 @@
             self.assertTrue(roster[server.id].is_leaving)
             begun, orders = len(server.begun), server.orders
             self.assertLessEqual(begun, server.slots)
-            site.name_version(3)
+            site.set_target_version(3)
             for number in range(8):
                 await _send(site, harness.CALL_PATH + "1", f"r{number}")
             await site.submit(site.nodes[0], "b9")
--- a/tests/platform/test_lifecycle.py
+++ b/tests/platform/test_lifecycle.py
@@ -114,7 +114,7 @@
                 server.length = 400
             await site.submit(site.other(holder), items=6)
             await trio.sleep(2)
-            site.store.lag_s = lag_s
+            site.store.latency_s = lag_s
             holder.runtime.drain_requested.set()
             stopped_at = trio.current_time()
             await trio.sleep(4)
--- a/tests/platform/test_schedules.py
+++ b/tests/platform/test_schedules.py
@@ -113,7 +113,7 @@
             self.cut_from_store,
             self.cut_pair,
             self.stop_store,
-            self.forget_history,
+            self.compact_history,
         )
         for _ in range(count):
             await trio.sleep(FAULT_PAUSE_S)
@@ -161,8 +161,8 @@
         await trio.sleep(2.0)
         self.site.store.is_down = False
 
-    async def forget_history(self):
-        self.site.store.forget_history()
+    async def compact_history(self):
+        self.site.store.compact()
 
 
 class ScheduleTest(unittest.TestCase):
@@ -203,5 +203,5 @@
                     self.assertEqual(len(results), page["total"])
             self.assertLess(len(schedule.totals), len(schedule.seen))
             self.assertEqual(schedule.problems, [])
-            self.assertEqual(site.broken, [])
+            self.assertEqual(site.violations, [])
             nursery.cancel_scope.cancel()
--- a/tests/platform/test_spreading.py
+++ b/tests/platform/test_spreading.py
@@ -84,7 +84,7 @@
                 self.assertEqual(len(results), 4)
             await trio.sleep(10)
             self.assertEqual(holders(site), spread)
-            self.assertEqual(site.broken, [])
+            self.assertEqual(site.violations, [])
             nursery.cancel_scope.cancel()
 
     @parameterized.parameterized.expand(
--- a/tests/platform/test_submissions.py
+++ b/tests/platform/test_submissions.py
@@ -168,10 +168,10 @@
     @virtual.on_virtual_time
     async def test_batch_that_may_be_kept_is_not_said_to_be_refused(self):
         async with harness.launch() as site:
-            site.store.loses_answers = True
+            site.store.drops_commit_responses = True
             response = await site.submit(site.nodes[0])
             self.assertIn(response.status, (500, 502, 504))
-            site.store.loses_answers = False
+            site.store.drops_commit_responses = False
             self.assertEqual(len(await site.read_all(site.nodes[0])), 4)
 
     @parameterized.parameterized.expand(
--- a/tests/platform/test_versions.py
+++ b/tests/platform/test_versions.py
@@ -14,7 +14,7 @@
     @virtual.on_virtual_time
     async def test_result_of_an_ended_batch_is_not_listed_in_another(self):
         async with harness.launch() as site:
-            site.name_version(2)
+            site.set_target_version(2)
             await trio.sleep(4)
             old = batch.Result(
                 "b1-i0", batch.ResultState.DONE, "old", [1], "old score"
@@ -45,7 +45,7 @@
             node = site.nodes[0]
             for step in range(6):
                 if step >= 2:
-                    site.name_version(step)
+                    site.set_target_version(step)
                 batch_id = f"b{step}"
                 minimum = max(1, step - 1)
                 await site.submit(node, batch_id, minimum=minimum, step=step)
@@ -67,7 +67,7 @@
             leader = site.holder()
             site.network.cut(leader.name, "store")
             await trio.sleep(4)
-            site.name_version(2)
+            site.set_target_version(2)
             await trio.sleep(3)
             holders = {o["holder"] for _, o, _ in site.orders}
             self.assertTrue(holders)
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -115,7 +115,7 @@
             ]
             if len(set(counts)) > 1:
                 self.note("window reported differently", window)
-        for words in self.world.broken:
+        for words in self.world.violations:
             self.note("server", words)
 
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -184,7 +184,7 @@
     async def forget_store_history(self, for_s):
         """Has the store discard its history."""
         self._note("store history")
-        self.world.store.forget_history()
+        self.world.store.compact()
 
     async def stop_cloud(self, for_s):
         """Has the intake of usage reports refuse everything."""
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -219,7 +219,7 @@
         self.host = Host()
         self.store = fakestore.Store()
         self.unreliable = UnreliableStore(self.store, nursery, rng)
-        self.broken = []
+        self.violations = []
         self.runs = []
         self.orders = []
         self.servers = {}
