--- a/src/kingcupscale/surroundings.py
+++ b/src/kingcupscale/dependencies.py
@@ -44,12 +44,12 @@
 
     catalogue: Callable[[bytes], catalogue.Catalogue]
     server: Callable[[str, bytes], roster.ServerEntry]
-    named_version: Callable[[bytes], tuple[str, int]]
+    target_version: Callable[[bytes], tuple[str, int]]
     retirement_state: Callable[[str], bytes]
 
 
 @attrs.frozen
-class Surroundings:
+class Dependencies:
     """What a node reaches the world by.
 
     Attributes:
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -6,14 +6,14 @@
 import trio
 
 from kingcupscale import candidates
+from kingcupscale import clusterstate
+from kingcupscale import dependencies
 from kingcupscale import deployment
-from kingcupscale import directives
 from kingcupscale import events
-from kingcupscale import leading
+from kingcupscale import leadership
 from kingcupscale import metrics
 from kingcupscale import readiness
 from kingcupscale import retirements
-from kingcupscale import surroundings
 from kingcupscale.batches import book as books
 from kingcupscale.batches import keeper
 from kingcupscale.batches import record as records
@@ -65,11 +65,11 @@
 
     Args:
         settings: What it is told.
-        around: What it reaches the world by.
+        deps: What it reaches the world by.
 
     Attributes:
         candidates: Which node is preferred for a duty.
-        directives: What operators and trainers have written.
+        cluster_state: What operators and trainers have written.
         readiness: Whether the node may take work.
         callers: Answers callers.
         is_draining: Whether a planned stop has begun.
@@ -79,24 +79,24 @@
     def __init__(
         self,
         settings: deployment.SiteSettings,
-        around: surroundings.Surroundings,
+        deps: dependencies.Dependencies,
     ) -> None:
         self.settings = settings
-        self.surroundings = around
-        self.clock = around.clock
-        self.measures = metrics.Metrics()
+        self.dependencies = deps
+        self.clock = deps.clock
+        self.metrics = metrics.Metrics()
         self.is_draining = False
-        self.drain_asked = trio.Event()
+        self.drain_requested = trio.Event()
         self.stopped = trio.Event()
-        self.services: dict[str, leading.ServiceDuty] = {}
-        self.models: dict[str, leading.ModelDuty] = {}
+        self.services: dict[str, leadership.ServiceDuty] = {}
+        self.models: dict[str, leadership.ModelDuty] = {}
         self._make_storage()
         self._make_serving()
 
     def _make_storage(self) -> None:
-        settings, around = self.settings, self.surroundings
+        settings, deps = self.settings, self.dependencies
         self.feed = feeds.Feed(
-            around.store,
+            deps.store,
             self.clock,
             settings.node,
             self._feed_pause_s,
@@ -104,10 +104,10 @@
         )
         self.peers = peers.Peers(
             settings.node,
-            around.relay,
-            around.commits,
+            deps.relay,
+            deps.commits,
             self.clock,
-            around.rng,
+            deps.rng,
             lambda: self.services,
         )
         self.peers.feed = self.feed
@@ -125,7 +125,7 @@
         )
         self.book = books.Book(
             self.feed,
-            detour.DetourStore(around.store, self.peers.commit),
+            detour.DetourStore(deps.store, self.peers.commit),
             self.clock,
             settings.value_bytes,
             self._fetch_copy,
@@ -136,10 +136,10 @@
             settings.least_lease_s, LEASE_SHARE * settings.bounds.lease_s
         )
         self.session = tenures.Session(
-            around.store, self.clock, settings.node, ttl_s
+            deps.store, self.clock, settings.node, ttl_s
         )
         self.presence = tenures.Presence(
-            around.store,
+            deps.store,
             self.clock,
             settings.node,
             PRESENCE_LEASES * ttl_s,
@@ -147,28 +147,28 @@
         )
         self.candidates = candidates.Candidates(self.feed, settings.node)
         self.feed.subscribe(tenures.NODES_PREFIX, self._take_node)
-        self.directives = directives.Directives(
-            self.feed, self.roster, around.keys, around.decoders
+        self.cluster_state = clusterstate.ClusterState(
+            self.feed, self.roster, deps.keys, deps.decoders
         )
         self.readiness = readiness.Readiness(
             self.feed,
             self.peers,
             self.clock,
             settings.bounds,
-            self.catalogue_now,
+            self.current_catalogue,
         )
 
     def _make_serving(self) -> None:
-        settings, around = self.settings, self.surroundings
+        settings, deps = self.settings, self.dependencies
         self.reporter = windows.WindowReporter(
             tenures.Tenure(windows.DUTY, self.session, self.feed, self.clock),
             self.feed,
-            around.intake,
+            deps.intake,
             self.clock,
             settings.bounds.window_s,
             settings.bounds.late_s,
         )
-        self.telling = telling.Telling(self.peers, self.reporter, around.counts)
+        self.telling = telling.Telling(self.peers, self.reporter, deps.counts)
         self.usage = windows.WindowCounter(
             self.feed,
             self.clock,
@@ -177,16 +177,16 @@
             self.telling,
         )
         admission = admissions.Admission(
-            self.catalogue_now, self.readiness.find_doubt
+            self.current_catalogue, self.readiness.staleness_error
         )
         self.forwarder = forwarder.Forwarder(
             admission,
             self.roster,
-            around.servers,
+            deps.servers,
             self.usage,
-            self.measures,
+            self.metrics,
             self.clock,
-            around.rng,
+            deps.rng,
             settings.zone,
         )
         self.callers = callers.Callers(
@@ -194,22 +194,24 @@
             self.forwarder,
             self.book,
             self.clock,
-            self.readiness.find_refusal,
+            self.readiness.admission_error,
         )
         self.retirements = retirements.Retirements(
-            self.feed, around.keys, around.decoders.retirement_state
+            self.feed, deps.keys, deps.decoders.retirement_state
         )
 
-    async def answer_peer(self, request: message.Request) -> message.Response:
+    async def handle_peer_request(
+        self, request: message.Request
+    ) -> message.Response:
         """Answers another node."""
         if request.path == commits.PATH:
-            return await commits.answer(self.surroundings.store, request)
+            return await commits.answer(self.dependencies.store, request)
         if request.path == handover.PATH:
             return self._take_copy(handover.decode(request.body))
         if request.path == counts.PATH:
             return self.telling.answer(request)
         if request.path == loads.PATH:
-            self.take_load(loads.decode(request.body))
+            self.apply_load_state(loads.decode(request.body))
             return message.Response(200)
         return await self.relay(request)
 
@@ -217,7 +219,9 @@
         """Takes over texts, and the samples of a node that stops."""
         duty = self.services.get(copy.service)
         fits = duty is None or duty.coordinator.apply_copy(copy)
-        model = self.models.get(leading.model_duty(copy.service, copy.model))
+        model = self.models.get(
+            leadership.model_duty_name(copy.service, copy.model)
+        )
         if model is not None:
             model.note_heard(copy.sender)
         if not fits:
@@ -229,7 +233,7 @@
         model.take_over(copy.sender)
         return message.Response(200)
 
-    def take_load(self, state: loads.LoadState) -> None:
+    def apply_load_state(self, state: loads.LoadState) -> None:
         """Takes over how a load on an engine stands."""
         server = self.roster.servers.get(state.server)
         if server is None:
@@ -244,13 +248,13 @@
         for duty in self.services.values():
             duty.coordinator.wake()
 
-    def catalogue_now(self) -> catalogue.Catalogue | None:
+    def current_catalogue(self) -> catalogue.Catalogue | None:
         """Returns the configuration in force; None before the first."""
-        return self.directives.catalogue
+        return self.cluster_state.catalogue
 
-    def limits_now(self) -> limits.Limits:
+    def current_limits(self) -> limits.Limits:
         """Returns what callers may send by the configuration in force."""
-        configured = self.catalogue_now()
+        configured = self.current_catalogue()
         allowed = configured.limits if configured else catalogue.Limits()
         return limits.Limits(
             body_bytes=allowed.body_bytes,
@@ -260,9 +264,9 @@
             idle_s=allowed.idle_s,
         )
 
-    def open_items(self, service: str) -> int:
+    def count_open_items(self, service: str) -> int:
         """Returns how many items of a service's open batches are unlisted."""
-        configured = self.catalogue_now()
+        configured = self.current_catalogue()
         if configured is None:
             return 0
         routes = {route.name for route in configured.routes_to(service)}
@@ -272,12 +276,12 @@
             if record.is_open() and record.batch.route in routes
         )
 
-    def duties_held(self) -> int:
+    def count_held_duties(self) -> int:
         """Returns how many duties this node holds."""
         duties = [*self.services.values(), *self.models.values()]
         return sum(duty.tenure.is_held() for duty in duties)
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Tells whether this node holds a service's duty."""
         return any(d.tenure.is_held() for d in self.services.values())
 
@@ -285,7 +289,7 @@
         self, position: changelog.Position
     ) -> changelog.Changes | None:
         """Follows a leader, or any node while the store does not answer."""
-        if self.leads() and not self.feed.is_lost:
+        if self.is_leader() and not self.feed.is_lost:
             return None
         return await self.peers.follow(
             position, self.book.interest, any_node=self.feed.is_lost
@@ -296,7 +300,7 @@
         nodes = self.peers.leaders()
         model = self.book.model_of(batch_id)
         for service in self.services if model else []:
-            duty = leading.model_duty(service, model or "")
+            duty = leadership.model_duty_name(service, model or "")
             nodes.append(self.peers.holder(duty))
         others = [n for n in dict.fromkeys(nodes) if n != self.settings.node]
         return await self.peers.copy_of(batch_id, others)
@@ -304,17 +308,17 @@
     async def _keep_batches(self) -> None:
         """Has the batches known that this node's duties need."""
         while True:
-            everything = self.leads() or leading.is_small_fleet(self)
+            everything = self.is_leader() or leadership.is_small_fleet(self)
             models = {
                 duty.model
                 for duty in self.models.values()
-                if duty.wants_batches()
+                if duty.needs_batches()
             }
             self.book.want(everything, frozenset(models))
             await self.clock.rest(WANT_PAUSE_S)
 
     def _feed_pause_s(self) -> float:
-        if self.leads():
+        if self.is_leader():
             return LEADER_PAUSE_S
         is_needed = self.book.readers or any(
             duty.coordinator.active_models for duty in self.services.values()
@@ -327,7 +331,7 @@
 
     def is_ready(self) -> bool:
         """Tells whether callers should be sent here."""
-        is_refusing = self.readiness.find_refusal() is not None
+        is_refusing = self.readiness.admission_error() is not None
         return not self.is_draining and not is_refusing
 
     def _take_node(self, entry: stores.Entry) -> None:
@@ -351,7 +355,7 @@
                 self._report_usage,
             ):
                 nursery.start_soon(task)
-            await self.drain_asked.wait()
+            await self.drain_requested.wait()
             await self._drain()
             nursery.cancel_scope.cancel()
 
@@ -380,7 +384,7 @@
         """Contends for each service that has model engines, and its models."""
         async with trio.open_nursery() as nursery:
             while True:
-                configured = self.catalogue_now()
+                configured = self.current_catalogue()
                 for name, service in (
                     configured.services.items() if configured else ()
                 ):
@@ -392,12 +396,12 @@
         self, service: str, models: Iterable[str], nursery: trio.Nursery
     ) -> None:
         if service not in self.services:
-            self.services[service] = leading.ServiceDuty(self, service)
+            self.services[service] = leadership.ServiceDuty(self, service)
             nursery.start_soon(self.services[service].run)
         for model in models:
-            duty = leading.model_duty(service, model)
+            duty = leadership.model_duty_name(service, model)
             if duty not in self.models:
-                self.models[duty] = leading.ModelDuty(
+                self.models[duty] = leadership.ModelDuty(
                     self, self.services[service], model
                 )
                 nursery.start_soon(self.models[duty].run)
@@ -420,7 +424,7 @@
         await tenures.hold(
             self.reporter.tenure,
             self._look_after_store,
-            lambda: leading.rank(self, windows.DUTY),
+            lambda: leadership.rank(self, windows.DUTY),
             USAGE_PAUSE_S,
         )
 
