--- a/bench/deployment.py
+++ b/bench/deployment.py
@@ -19,7 +19,7 @@
 from kingcupscale.fakes import callers
 from kingcupscale.fakes import judge
 from kingcupscale.fakes import tables as sample
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 
 READY_LIMIT_S = 120.0
 POLL_S = 0.1
@@ -54,11 +54,11 @@
         return [s["address"] for s in service["backend_servers"].values()]
 
     def operator(
-        self, number: int, exchanger: exchange.Exchanger
+        self, number: int, http_client: httpclient.HttpClient
     ) -> callers.Operator:
         """Returns an operator at one node."""
         return callers.Operator(
-            exchanger,
+            http_client,
             self.nodes[number].listeners.operators,
             OPERATOR_KEY,
             judge.Record(sample.FRESHNESS_VERSIONS),
@@ -182,9 +182,9 @@
 
 
 async def _configure(deployment: Deployment) -> None:
-    exchanger = exchange.HttpExchanger()
+    http_client = httpclient.PooledHttpClient()
     operators = [
-        deployment.operator(number, exchanger)
+        deployment.operator(number, http_client)
         for number in range(len(deployment.nodes))
     ]
     deadline = time.monotonic() + READY_LIMIT_S
@@ -198,14 +198,14 @@
             if time.monotonic() > deadline:
                 raise RuntimeError(response.body.decode())
             await trio.sleep(POLL_S)
-    await exchanger.aclose()
+    await http_client.aclose()
 
 
 async def _wait_for(operator: callers.Operator, members: int) -> None:
     while True:
         try:
             status = await operator.status()
-        except exchange.ExchangeError:
+        except httpclient.RequestError:
             await trio.sleep(POLL_S)
             continue
         if status.admitting or len(status.members) >= members:
--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -155,7 +155,7 @@
     breaks.Break(
         "a non-idempotent request runs at most once",
         "serving/plain.py",
-        "if e.request_left and not is_idempotent:",
+        "if e.may_have_been_sent and not is_idempotent:",
         "if False:",
         "tests.test_serving.PlainCallTest.test_non_idempotent_call_runs_once",
     ),
--- a/bench/peering.py
+++ b/bench/peering.py
@@ -19,7 +19,7 @@
 from bench import deployment as deployments
 from bench import processes
 from bench import virtualfleet
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 
 PROCESS_SIZES = (4, 16, 64)
 VIRTUAL_SIZES = (4, 16, 64, 192)
@@ -110,8 +110,8 @@
 
 
 async def _time_changes(deployment: deployments.Deployment) -> float:
-    exchanger = exchange.HttpExchanger()
-    operator = deployment.operator(0, exchanger)
+    http_client = httpclient.PooledHttpClient()
+    operator = deployment.operator(0, http_client)
     times = []
     for streams in range(1, CHANGES + 1):
         tables = dict(deployment.tables["organisations"])
@@ -122,7 +122,7 @@
         answer = orjson.loads(response.body)
         if len(answer["in_force"]) < len(deployment.nodes):
             raise RuntimeError(response.body.decode())
-    await exchanger.aclose()
+    await http_client.aclose()
     return statistics.median(times)
 
 
--- a/bench/pools.py
+++ b/bench/pools.py
@@ -18,7 +18,7 @@
 import httpcore
 import trio
 
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
 # Engines of a large deployment and what each of them runs at once.
@@ -75,17 +75,17 @@
 
 
 class OnePool:
-    """An ``Exchanger`` with one pool for all servers; the baseline."""
+    """An ``HttpClient`` with one pool for all servers; the baseline."""
 
     def __init__(self, backend: httpcore.AsyncNetworkBackend) -> None:
-        self.pool = exchange.make_pool(1024, 30.0, backend)
+        self.pool = httpclient.make_pool(1024, 30.0, backend)
 
     @contextlib.asynccontextmanager
     async def open(
         self, address: str, request: message.Request, timeout_s: float
     ) -> AsyncIterator[message.Response]:
         """Sends a request over a pooled connection."""
-        async with exchange.send(
+        async with httpclient.send(
             self.pool, address, request, timeout_s
         ) as response:
             yield response
@@ -93,13 +93,13 @@
 
 WAYS: dict[str, Callable[[httpcore.AsyncNetworkBackend], Any]] = {
     "one pool": OnePool,
-    "a pool for each server": lambda backend: exchange.HttpExchanger(
+    "a pool for each server": lambda backend: httpclient.PooledHttpClient(
         backend=backend
     ),
 }
 
 
-async def _run(exchanger: exchange.Exchanger, servers: int) -> None:
+async def _run(http_client: httpclient.HttpClient, servers: int) -> None:
     """Sends requests to all servers, as many at a time as have a slot."""
 
     async def use_slot(address: str) -> None:
@@ -107,7 +107,7 @@
             request = message.Request(
                 "POST", "/generate", "", {"host": "h"}, b"?" * 600
             )
-            async with exchanger.open(address, request, 10.0) as response:
+            async with http_client.open(address, request, 10.0) as response:
                 async for _ in response.chunks or ():
                     pass
 
@@ -122,9 +122,9 @@
     readings = []
     for _ in range(ROUNDS):
         backend = AnsweringBackend()
-        exchanger = WAYS[way](backend)
+        http_client = WAYS[way](backend)
         began = time.process_time()
-        trio.run(_run, exchanger, servers)
+        trio.run(_run, http_client, servers)
         spent_s = time.process_time() - began
         readings.append(1000 * spent_s / (servers * SLOTS * REQUESTS_EACH))
     return {
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import limits
 from kingcupscale.web import message
 from kingcupscale.web import server
@@ -24,7 +24,7 @@
 
     def __init__(self, target: str) -> None:
         self.target = target
-        self.exchanger = exchange.HttpExchanger()
+        self.http_client = httpclient.PooledHttpClient()
 
     async def __call__(self, request: message.Request) -> message.Response:
         """Returns the target's answer to one request."""
@@ -32,8 +32,8 @@
         sent = message.Request(
             request.method, request.path, request.query, headers, request.body
         )
-        response = await exchange.fetch(
-            self.exchanger, self.target, sent, TIMEOUT_S
+        response = await httpclient.fetch(
+            self.http_client, self.target, sent, TIMEOUT_S
         )
         return message.Response(response.status, {}, response.body)
 
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -17,7 +17,7 @@
 from bench import processes
 from kingcupscale.fakes import tables as sample
 from kingcupscale.providers import engine
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
 REQUESTS = 400
@@ -109,7 +109,7 @@
     def __init__(self, deployment: deployments.Deployment, relay: str) -> None:
         self.deployment = deployment
         self.relay = relay
-        self.exchanger = exchange.HttpExchanger()
+        self.http_client = httpclient.PooledHttpClient()
         self.node = deployment.nodes[0].listeners.callers
         self.pid = deployment.pids[0]
         self.key = deployment.issued[0].text
@@ -197,8 +197,8 @@
             while waiting:
                 request = waiting.pop()
                 began_at = time.monotonic()
-                response = await exchange.fetch(
-                    self.exchanger, address, request, TIMEOUT_S
+                response = await httpclient.fetch(
+                    self.http_client, address, request, TIMEOUT_S
                 )
                 if response.status != 200:
                     raise RuntimeError(response.body.decode())
--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -219,7 +219,7 @@
     ),
     Break(
         "what is given up is not sent later",
-        "web/exchange.py",
+        "web/httpclient.py",
         "    (socket.SOL_SOCKET, socket.SO_LINGER, _RESET),\n",
         "",
         "tests.test_web_server.ExchangeTest",
@@ -392,7 +392,7 @@
     ),
     Break(
         "heads without end have an end",
-        "web/exchange.py",
+        "web/httpclient.py",
         "with trio.move_on_after(connect_s + timeout_s) as scope:",
         "with trio.CancelScope() as scope:",
         SITE + "test_endless.EndlessTest.test_report_and_order_end_in_time",
--- a/src/kingcupscale/commands/connection.py
+++ b/src/kingcupscale/commands/connection.py
@@ -9,7 +9,7 @@
 import trio
 
 from kingcupscale import codec
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
 T = TypeVar("T")
@@ -69,8 +69,8 @@
         )
     try:
         response = trio.run(_fetch, arguments.node, request)
-    except exchange.ExchangeError as e:
-        state = "may have arrived" if e.request_left else "did not leave"
+    except httpclient.RequestError as e:
+        state = "may have arrived" if e.may_have_been_sent else "did not leave"
         raise CommandError(
             f"{arguments.node} did not answer ({e.reason}); the request"
             f" {state}",
@@ -94,11 +94,11 @@
 
 
 async def _fetch(node: str, request: message.Request) -> message.Response:
-    exchanger = exchange.HttpExchanger()
+    http_client = httpclient.PooledHttpClient()
     try:
-        return await exchange.fetch(exchanger, node, request, TIMEOUT_S)
+        return await httpclient.fetch(http_client, node, request, TIMEOUT_S)
     finally:
-        await exchanger.aclose()
+        await http_client.aclose()
 
 
 def _describe(response: message.Response) -> str:
--- a/src/kingcupscale/daemon.py
+++ b/src/kingcupscale/daemon.py
@@ -18,7 +18,7 @@
 from kingcupscale import settings as node_settings
 from kingcupscale.peering import grpctransport
 from kingcupscale.peering import transport
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import limits
 from kingcupscale.web import server
 
@@ -49,7 +49,7 @@
 
     def __init__(self, settings: node_settings.NodeSettings) -> None:
         self.settings = settings
-        self.exchanger = exchange.HttpExchanger()
+        self.http_client = httpclient.PooledHttpClient()
         self.peers = grpctransport.GrpcPeerTransport()
         self.node: nodes.Node | None = None
         self.addresses: Addresses | None = None
@@ -71,13 +71,13 @@
             await self._serve(self.node, task_status)
             nursery.cancel_scope.cancel()
         self.peers.close()
-        await self.exchanger.aclose()
+        await self.http_client.aclose()
 
     def _make_node(
         self, service: transport.PeerService, peers: str
     ) -> nodes.Node:
         surroundings = nodes.Surroundings(
-            self.exchanger,
+            self.http_client,
             self.peers,
             clocks.SystemClock(),
             random.Random(),
--- a/src/kingcupscale/demo.py
+++ b/src/kingcupscale/demo.py
@@ -18,7 +18,7 @@
 from kingcupscale.fakes import standins
 from kingcupscale.fakes import tables as sample
 from kingcupscale.rollouts import trainer as trainers
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 
 NODES = 4
 ZONES = 3
@@ -97,7 +97,7 @@
         self.rng = random.Random(seed)
         self.report = report
         self.clock = clocks.SystemClock()
-        self.exchanger = exchange.HttpExchanger()
+        self.http_client = httpclient.PooledHttpClient()
         self.record = judge.Record(sample.FRESHNESS_VERSIONS)
         self.operator_key = keys.make_key("demo-operator")
         self.daemons: list[daemons.Daemon] = []
@@ -180,7 +180,7 @@
         if addresses is None:
             raise RuntimeError("the node does not listen")
         return callers.Operator(
-            self.exchanger,
+            self.http_client,
             addresses.operators,
             self.operator_key.text,
             self.record,
@@ -233,7 +233,7 @@
 
     async def _call(self, issued: sample.Issued) -> None:
         caller = callers.Caller(
-            self.exchanger,
+            self.http_client,
             self.balancer,
             issued,
             self.record,
@@ -247,7 +247,7 @@
 
     async def _train(self, issued: sample.Issued) -> None:
         client = trainers.TrainerClient(
-            self.exchanger,
+            self.http_client,
             [node.address for node in self.balancer.nodes],
             issued.text,
             self.clock,
--- a/src/kingcupscale/fakes/callers.py
+++ b/src/kingcupscale/fakes/callers.py
@@ -19,7 +19,7 @@
 from kingcupscale.rollouts import messages
 from kingcupscale.rollouts import trainer as trainers
 from kingcupscale.serving import plain
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
 TIMEOUT_S = 40.0
@@ -56,7 +56,7 @@
     """A caller of one organisation.
 
     Args:
-        exchanger: Carries the requests.
+        http_client: Carries the requests.
         balancer: Hands out nodes.
         issued: The key.
         record: Where it notes what it sees.
@@ -66,14 +66,14 @@
 
     def __init__(
         self,
-        exchanger: exchange.Exchanger,
+        http_client: httpclient.HttpClient,
         balancer: Balancer,
         issued: tables.Issued,
         record: judge.Record,
         clock: clocks.Clock,
         rng: random.Random,
     ) -> None:
-        self.exchanger = exchanger
+        self.http_client = http_client
         self.balancer = balancer
         self.issued = issued
         self.record = record
@@ -157,15 +157,15 @@
         )
         asked = attrs.evolve(request, headers=dict(request.headers))
         try:
-            response = await exchange.fetch(
-                self.exchanger, node.address, asked, TIMEOUT_S
+            response = await httpclient.fetch(
+                self.http_client, node.address, asked, TIMEOUT_S
             )
         except trio.Cancelled:
             self.record.answers.append(attrs.evolve(answer, run="unknown"))
             raise
-        except exchange.ExchangeError as e:
-            run = "" if e.request_left else "not_run"
-            return attrs.evolve(answer, run=run, is_cut=e.request_left)
+        except httpclient.RequestError as e:
+            run = "" if e.may_have_been_sent else "not_run"
+            return attrs.evolve(answer, run=run, is_cut=e.may_have_been_sent)
         if response.status != 200:
             return attrs.evolve(
                 answer, status=response.status, run=_read_run(response.body)
@@ -251,7 +251,7 @@
     """An operator at one node's listener.
 
     Args:
-        exchanger: Carries the requests.
+        http_client: Carries the requests.
         address: ``host:port`` of the listener.
         key: The operator's key.
         record: Where they note what they see.
@@ -260,13 +260,13 @@
 
     def __init__(
         self,
-        exchanger: exchange.Exchanger,
+        http_client: httpclient.HttpClient,
         address: str,
         key: str,
         record: judge.Record,
         clock: clocks.Clock,
     ) -> None:
-        self.exchanger = exchanger
+        self.http_client = http_client
         self.address = address
         self.headers = {"authorization": f"Bearer {key}"}
         self.record = record
@@ -278,12 +278,12 @@
         """Sends one request.
 
         Raises:
-            ExchangeError: If no answer comes.
+            RequestError: If no answer comes.
         """
         data = b"" if body is None else codec.encode(body)
         request = message.Request(method, path, "", dict(self.headers), data)
-        return await exchange.fetch(
-            self.exchanger, self.address, request, OPERATOR_TIMEOUT_S
+        return await httpclient.fetch(
+            self.http_client, self.address, request, OPERATOR_TIMEOUT_S
         )
 
     async def status(self) -> operating.StatusAnswer:
--- a/src/kingcupscale/fakes/cluster.py
+++ b/src/kingcupscale/fakes/cluster.py
@@ -22,7 +22,7 @@
 from kingcupscale.fakes import world as worlds
 from kingcupscale.peering import transport
 from kingcupscale.rollouts import trainer as trainers
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
 OUTSIDE = "outside"
@@ -102,7 +102,7 @@
         self.network = networks.Network(nursery, plan)
         self.network.on_store_down = self.take_store_down
         self.network.on_crash = self._restart_soon
-        self.exchanger = networks.MemoryExchanger(self.network, OUTSIDE)
+        self.http_client = networks.MemoryExchanger(self.network, OUTSIDE)
         self.record = judge.Record(sample.FRESHNESS_VERSIONS)
         self.operator_key = keys.make_key("operator")
         self.nodes: dict[str, RunningNode] = {}
@@ -254,7 +254,7 @@
         try:
             operator = self.operator("node-1")
             response = await operator.apply(self.tables, "first day")
-        except (exchange.ExchangeError, ValueError):
+        except (httpclient.RequestError, ValueError):
             return False
         return response.status == 200
 
@@ -268,7 +268,7 @@
     def operator(self, name: str) -> callers.Operator:
         """Returns an operator at one node."""
         return callers.Operator(
-            self.exchanger,
+            self.http_client,
             f"{name}:operators",
             self.operator_key.text,
             self.record,
@@ -278,7 +278,7 @@
     def caller(self, number: int) -> callers.Caller:
         """Returns a caller of one organisation."""
         return callers.Caller(
-            self.exchanger,
+            self.http_client,
             self.balancer,
             self.issued[number],
             self.record,
@@ -289,7 +289,7 @@
     def trainer(self, number: int) -> trainers.TrainerClient:
         """Returns a trainer's client."""
         return trainers.TrainerClient(
-            self.exchanger,
+            self.http_client,
             [node.address for node in self.balancer.nodes],
             self.trainer_keys[number].text,
             self.clock,
--- a/src/kingcupscale/fakes/engine.py
+++ b/src/kingcupscale/fakes/engine.py
@@ -14,7 +14,7 @@
 from kingcupscale.fakes import prefixcache
 from kingcupscale.fakes import text
 from kingcupscale.providers import engine
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 from kingcupscale.web import routes
 
@@ -70,7 +70,7 @@
     Args:
         clock: Tells the time.
         settings: Speed and size.
-        exchanger: How it reaches the weight store, or None for no store.
+        http_client: How it reaches the weight store, or None for no store.
         weight_store: ``host:port`` of the weight store.
 
     Attributes:
@@ -85,12 +85,12 @@
         self,
         clock: clocks.Clock,
         settings: EngineSettings | None = None,
-        exchanger: exchange.Exchanger | None = None,
+        http_client: httpclient.HttpClient | None = None,
         weight_store: str = "",
     ) -> None:
         self.clock = clock
         self.settings = settings or EngineSettings()
-        self.exchanger = exchanger
+        self.http_client = http_client
         self.weight_store = weight_store
         self.generated: collections.Counter[str] = collections.Counter()
         self.orders: list[ReceivedOrder] = []
@@ -263,7 +263,7 @@
         return ""
 
     async def _stage(self, order: engine.EngineOrder) -> str:
-        if self.exchanger is None:
+        if self.http_client is None:
             self.staged[order.adapter] = order.version
         else:
             await self.wanted.send(order)
@@ -277,15 +277,15 @@
     async def run(self) -> None:
         """Reads ordered weights from the store until cancelled."""
         async for order in self.orders_to_read:
-            if self.exchanger is None:
+            if self.http_client is None:
                 continue
             path = f"/weights/{order.adapter}/{order.version}/content"
             request = message.Request("GET", path)
             try:
-                await exchange.fetch(
-                    self.exchanger, self.weight_store, request, READ_TIMEOUT_S
+                await httpclient.fetch(
+                    self.http_client, self.weight_store, request, READ_TIMEOUT_S
                 )
-            except exchange.ExchangeError:
+            except httpclient.RequestError:
                 continue
             if self.active.get(order.adapter, 0) < order.version:
                 self.staged[order.adapter] = order.version
--- a/src/kingcupscale/fakes/network.py
+++ b/src/kingcupscale/fakes/network.py
@@ -10,7 +10,7 @@
 
 from kingcupscale.fakes import faults
 from kingcupscale.peering import transport
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 from kingcupscale.web import server
 
@@ -170,7 +170,7 @@
     async def open(
         self, address: str, request: message.Request, timeout_s: float
     ) -> AsyncIterator[message.Response]:
-        """Sends a request; see ``exchange.Exchanger``."""
+        """Sends a request; see ``httpclient.HttpClient``."""
         network = self.network
         name, handler = network.handlers.get(address, ("", None))
         operation = f"{request.method} {request.path}"
@@ -180,7 +180,7 @@
         await trio.sleep(LATENCY_S)
         is_refused = fault is faults.Fault.ERROR_BEFORE
         if handler is None or is_refused or not self._reaches(name):
-            raise exchange.ExchangeError("refused", request_left=False)
+            raise httpclient.RequestError("refused", may_have_been_sent=False)
         request.before_send()
         if fault is faults.Fault.CALLER_PAUSED_SENDING:
             network.pause(self.caller, PAUSE_S)
@@ -211,7 +211,7 @@
         """Delivers a request after its caller has given up on it."""
         self.network.nursery.start_soon(_deliver_late, handler, request)
         await trio.sleep(timeout_s)
-        raise exchange.ExchangeError("timed out", request_left=True)
+        raise httpclient.RequestError("timed out", may_have_been_sent=True)
 
     async def _answer(
         self,
@@ -222,7 +222,7 @@
         arrived = attrs.evolve(request, before_send=message.allow_send)
         with trio.move_on_after(timeout_s):
             return await server.answer(handler, arrived)
-        raise exchange.ExchangeError("timed out", request_left=True)
+        raise httpclient.RequestError("timed out", may_have_been_sent=True)
 
     async def _spoil(
         self,
@@ -232,7 +232,9 @@
     ) -> None:
         if fault is faults.Fault.ANSWER_LOST:
             await response.read()
-            raise exchange.ExchangeError("answer lost", request_left=True)
+            raise httpclient.RequestError(
+                "answer lost", may_have_been_sent=True
+            )
         if fault is faults.Fault.ANSWER_LATE:
             await trio.sleep(LATE_S)
         if fault is faults.Fault.ANSWER_CROSSED:
@@ -251,7 +253,9 @@
         is_cut = fault is faults.Fault.ANSWER_CUT
         if response.chunks is None:
             if is_cut:
-                raise exchange.ExchangeError("cut off", request_left=True)
+                raise httpclient.RequestError(
+                    "cut off", may_have_been_sent=True
+                )
             self.network.last_bodies[operation] = response.body
             yield response.body
             return
@@ -260,7 +264,9 @@
                 chunk = await self._next(chunks, timeout_s)
                 await self.network.gate(self.caller)
                 if not self._reaches(name):
-                    raise exchange.ExchangeError("cut off", request_left=True)
+                    raise httpclient.RequestError(
+                        "cut off", may_have_been_sent=True
+                    )
                 if chunk is None:
                     return
                 if is_cut:
@@ -272,7 +278,7 @@
     async def _next(self, chunks: Any, timeout_s: float) -> bytes | None:
         with trio.move_on_after(timeout_s):
             return await anext(chunks, None)
-        raise exchange.ExchangeError("timed out", request_left=True)
+        raise httpclient.RequestError("timed out", may_have_been_sent=True)
 
 
 async def _deliver_late(
--- a/src/kingcupscale/fakes/sessions.py
+++ b/src/kingcupscale/fakes/sessions.py
@@ -11,7 +11,7 @@
 from kingcupscale.fakes import cluster as clusters
 from kingcupscale.fakes import faults
 from kingcupscale.fakes import judge
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 
 SESSION_LIMIT_S = 400.0
 SETTLE_S = 45.0
@@ -119,7 +119,7 @@
             nursery.start_soon(_make_traffic, cluster, number)
         await trio.sleep(1)
         cluster.record.draining["node-3"] = cluster.clock.monotonic()
-        with contextlib.suppress(exchange.ExchangeError):
+        with contextlib.suppress(httpclient.RequestError):
             await cluster.operator("node-3").call("POST", "/drain")
         await trio.sleep(12)
         del cluster.record.draining["node-3"]
@@ -149,7 +149,7 @@
     for _ in range(ATTEMPTS):
         try:
             response = await attempt()
-        except (exchange.ExchangeError, ValueError):
+        except (httpclient.RequestError, ValueError):
             response = None
         if done() or getattr(response, "status", 0) == 200:
             return
@@ -200,7 +200,7 @@
 async def _watch_revisions(cluster: clusters.Cluster) -> None:
     while True:
         for name in cluster.node_names():
-            with contextlib.suppress(exchange.ExchangeError, ValueError):
+            with contextlib.suppress(httpclient.RequestError, ValueError):
                 await cluster.operator(name).status()
         await trio.sleep(WATCH_EVERY_S)
 
--- a/src/kingcupscale/fakes/standins.py
+++ b/src/kingcupscale/fakes/standins.py
@@ -10,7 +10,7 @@
 from kingcupscale import settings
 from kingcupscale.fakes import engine
 from kingcupscale.fakes import world as worlds
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import limits
 from kingcupscale.web import message
 from kingcupscale.web import server
@@ -69,7 +69,7 @@
         self.tables = tables
         self.platform = platform
         self.engine_settings = engine_settings
-        self.exchanger = exchange.HttpExchanger()
+        self.http_client = httpclient.PooledHttpClient()
         self.clock = clocks.SystemClock()
         self.scopes: dict[str, trio.CancelScope] = {}
         self.listeners: dict[str, _Deferred] = {}
@@ -129,7 +129,7 @@
         return worlds.World(
             self.clock,
             self.tables,
-            self.exchanger,
+            self.http_client,
             self.platform.weights,
             self._launch,
             self.engine_settings,
--- a/src/kingcupscale/fakes/world.py
+++ b/src/kingcupscale/fakes/world.py
@@ -16,7 +16,7 @@
 from kingcupscale.fakes import vmlist
 from kingcupscale.fakes import weightstore
 from kingcupscale.providers import vmlist as vms
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
 VM_LIST_LAG_S = 1.0
@@ -30,7 +30,7 @@
     Args:
         clock: Tells the time.
         tables: The operators' configuration; names the backend servers.
-        exchanger: How engines reach the weight store.
+        http_client: How engines reach the weight store.
         weights_address: ``host:port`` of the weight store.
         launch: Serves a backend server that the platform starts; given its
             name, its handler and its zone, returns its ``host:port``.
@@ -41,14 +41,14 @@
         self,
         clock: clocks.Clock,
         tables: dict[str, Any],
-        exchanger: exchange.Exchanger,
+        http_client: httpclient.HttpClient,
         weights_address: str,
         launch: Launcher,
         engine_settings: engine.EngineSettings | None = None,
     ) -> None:
         self.clock = clock
         self.document = check.check(tables)
-        self.exchanger = exchanger
+        self.http_client = http_client
         self.weights_address = weights_address
         self.launch = launch
         self.engine_settings = engine_settings or engine.EngineSettings()
@@ -81,7 +81,7 @@
         self.engines[name] = engine.FakeEngine(
             self.clock,
             self.engine_settings,
-            self.exchanger,
+            self.http_client,
             self.weights_address,
         )
         if self.nursery is not None:
--- a/src/kingcupscale/node.py
+++ b/src/kingcupscale/node.py
@@ -50,7 +50,7 @@
 from kingcupscale.usage import copying
 from kingcupscale.usage import counter
 from kingcupscale.usage import reporting
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 
 ZONE_TICK_S = 0.5
 USAGE_TICK_S = 1.0
@@ -63,14 +63,14 @@
     """What a node reaches the world by.
 
     Attributes:
-        exchanger: Carries HTTP requests.
+        http_client: Carries HTTP requests.
         peers: Calls other nodes.
         clock: Tells the time.
         rng: Spreads choices.
         peer_address: ``host:port`` at which peers reach this node.
     """
 
-    exchanger: exchange.Exchanger
+    http_client: httpclient.HttpClient
     peers: transport.PeerTransport
     clock: clocks.Clock
     rng: random.Random
@@ -114,15 +114,15 @@
 
     def _make_platform(self) -> None:
         platform = self.settings.platform
-        exchanger = self.surroundings.exchanger
+        http_client = self.surroundings.http_client
         timeout_s = self.settings.timings.order_timeout_s
-        self.store = keyvalue.HttpKeyValueStore(exchanger, platform.key_value)
-        self.directory = vmlist.HttpVmDirectory(exchanger, platform.vm_list)
+        self.store = keyvalue.HttpKeyValueStore(http_client, platform.key_value)
+        self.directory = vmlist.HttpVmDirectory(http_client, platform.vm_list)
         self.intake = usageintake.HttpUsageIntake(
-            exchanger, platform.usage, timeout_s
+            http_client, platform.usage, timeout_s
         )
         self.provider = capacityprovider.HttpCapacityProvider(
-            exchanger, platform.capacity, timeout_s
+            http_client, platform.capacity, timeout_s
         )
 
     def _make_membership(self) -> None:
@@ -170,7 +170,7 @@
         self.editor = editor.Editor(self.spreader, self.clock)
 
     def _make_serving(self) -> None:
-        exchanger = self.surroundings.exchanger
+        http_client = self.surroundings.http_client
         name = f"{self.settings.name}/{self.incarnation}"
         self.metrics = metrics.Metrics(
             metrics.make_client(self.settings.statsd)
@@ -189,11 +189,11 @@
         key_ring = keys.KeyRing(self.replica)
         self.sessions = sessions.Sessions(key_ring)
         generator = generation.Generator(
-            self.pools, exchanger, self.counters, self.metrics
+            self.pools, http_client, self.counters, self.metrics
         )
         plain_caller = plain.PlainCaller(
             self.pools,
-            exchanger,
+            http_client,
             claims.Claims(self.store, name),
             self.counters,
             self.metrics,
@@ -205,7 +205,7 @@
             plain_caller,
             self.publications,
             weightstore.HttpWeightStore(
-                exchanger, self.settings.platform.weights
+                http_client, self.settings.platform.weights
             ),
             self.metrics,
             self.clock,
@@ -276,7 +276,7 @@
             zone,
             self.pools,
             self.publications,
-            self.surroundings.exchanger,
+            self.surroundings.http_client,
             desk,
             self.clock,
             self.settings.timings.order_timeout_s,
--- a/src/kingcupscale/peering/calls.py
+++ b/src/kingcupscale/peering/calls.py
@@ -6,7 +6,7 @@
 
 from kingcupscale import codec
 from kingcupscale import errors
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
 T = TypeVar("T")
@@ -35,7 +35,7 @@
 
 
 async def post(
-    exchanger: exchange.Exchanger,
+    http_client: httpclient.HttpClient,
     address: str,
     path: str,
     value: object,
@@ -44,7 +44,7 @@
     """Sends a value to another node and returns the body of its answer.
 
     Args:
-        exchanger: Carries the call.
+        http_client: Carries the call.
         address: ``host:port`` of the node.
         path: What is called.
         value: An ``attrs`` value.
@@ -58,9 +58,11 @@
     )
     request.connect_timeout_s = CONNECT_S
     try:
-        response = await exchange.fetch(exchanger, address, request, timeout_s)
-    except exchange.ExchangeError as e:
-        raise PeerError(e.reason, e.request_left) from e
+        response = await httpclient.fetch(
+            http_client, address, request, timeout_s
+        )
+    except httpclient.RequestError as e:
+        raise PeerError(e.reason, e.may_have_been_sent) from e
     if response.status != 200:
         raise PeerError(
             f"status {response.status} of {address}", True, response.status
--- a/src/kingcupscale/peering/commits.py
+++ b/src/kingcupscale/peering/commits.py
@@ -7,7 +7,7 @@
 from kingcupscale import events
 from kingcupscale.peering import calls
 from kingcupscale.storage import store as stores
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
 PATH = "/commit"
@@ -45,11 +45,11 @@
     """A ``CommitClient`` over HTTP.
 
     Args:
-        exchanger: Carries the calls.
+        http_client: Carries the calls.
     """
 
-    def __init__(self, exchanger: exchange.Exchanger) -> None:
-        self.exchanger = exchanger
+    def __init__(self, http_client: httpclient.HttpClient) -> None:
+        self.http_client = http_client
 
     async def commit(
         self, address: str, transaction: stores.Transaction
@@ -57,7 +57,7 @@
         """Returns the new revision, or None if a condition did not hold."""
         try:
             body = await calls.post(
-                self.exchanger, address, PATH, transaction, TIMEOUT_S
+                self.http_client, address, PATH, transaction, TIMEOUT_S
             )
             return calls.decode_answer(body, Committed).revision
         except calls.PeerError as e:
--- a/src/kingcupscale/peering/counts.py
+++ b/src/kingcupscale/peering/counts.py
@@ -9,7 +9,7 @@
 import attrs
 
 from kingcupscale.peering import calls
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 
 PATH = "/counts"
 SEND_TIMEOUT_S = 0.5
@@ -45,15 +45,17 @@
     """A ``CountsClient`` over HTTP.
 
     Args:
-        exchanger: Carries the calls.
+        http_client: Carries the calls.
     """
 
-    def __init__(self, exchanger: exchange.Exchanger) -> None:
-        self.exchanger = exchanger
+    def __init__(self, http_client: httpclient.HttpClient) -> None:
+        self.http_client = http_client
 
     async def send(self, address: str, counted: Counts) -> None:
         """Sends counts."""
-        await calls.post(self.exchanger, address, PATH, counted, SEND_TIMEOUT_S)
+        await calls.post(
+            self.http_client, address, PATH, counted, SEND_TIMEOUT_S
+        )
 
 
 def decode(body: bytes) -> Counts:
--- a/src/kingcupscale/peering/handover.py
+++ b/src/kingcupscale/peering/handover.py
@@ -13,7 +13,7 @@
 from kingcupscale.batches import batch
 from kingcupscale.fleet import serverclient
 from kingcupscale.peering import calls
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 
 PATH = "/texts"
 SEND_TIMEOUT_S = 0.5
@@ -94,15 +94,15 @@
     """A ``CopyClient`` over HTTP.
 
     Args:
-        exchanger: Carries the calls.
+        http_client: Carries the calls.
     """
 
-    def __init__(self, exchanger: exchange.Exchanger) -> None:
-        self.exchanger = exchanger
+    def __init__(self, http_client: httpclient.HttpClient) -> None:
+        self.http_client = http_client
 
     async def send(self, address: str, copy: Copy) -> None:
         """Sends one copy."""
-        await calls.post(self.exchanger, address, PATH, copy, SEND_TIMEOUT_S)
+        await calls.post(self.http_client, address, PATH, copy, SEND_TIMEOUT_S)
 
 
 def decode(body: bytes) -> Copy:
--- a/src/kingcupscale/peering/loads.py
+++ b/src/kingcupscale/peering/loads.py
@@ -5,7 +5,7 @@
 import attrs
 
 from kingcupscale.peering import calls
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 
 PATH = "/loads"
 SEND_TIMEOUT_S = 0.5
@@ -47,15 +47,15 @@
     """A ``LoadClient`` over HTTP.
 
     Args:
-        exchanger: Carries the calls.
+        http_client: Carries the calls.
     """
 
-    def __init__(self, exchanger: exchange.Exchanger) -> None:
-        self.exchanger = exchanger
+    def __init__(self, http_client: httpclient.HttpClient) -> None:
+        self.http_client = http_client
 
     async def send(self, address: str, state: LoadState) -> None:
         """Sends one state."""
-        await calls.post(self.exchanger, address, PATH, state, SEND_TIMEOUT_S)
+        await calls.post(self.http_client, address, PATH, state, SEND_TIMEOUT_S)
 
 
 def decode(body: bytes) -> LoadState:
--- a/src/kingcupscale/peering/relay.py
+++ b/src/kingcupscale/peering/relay.py
@@ -20,7 +20,7 @@
 from kingcupscale.storage import changelog
 from kingcupscale.storage import feed as feeds
 from kingcupscale.storage import store as stores
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
 PATH = "/relay"
@@ -132,11 +132,11 @@
     """A ``RelayClient`` over HTTP.
 
     Args:
-        exchanger: Carries the calls.
+        http_client: Carries the calls.
     """
 
-    def __init__(self, exchanger: exchange.Exchanger) -> None:
-        self.exchanger = exchanger
+    def __init__(self, http_client: httpclient.HttpClient) -> None:
+        self.http_client = http_client
 
     async def follow(
         self,
@@ -156,7 +156,7 @@
         timeout_s = WAIT_S + MARGIN_S
         try:
             body = await calls.post(
-                self.exchanger, address, PATH, question, timeout_s
+                self.http_client, address, PATH, question, timeout_s
             )
         except calls.PeerError as e:
             if e.status == STATUS_BEHIND:
@@ -173,7 +173,7 @@
         """Returns a batch as another node knows it; None if it does not."""
         try:
             body = await calls.post(
-                self.exchanger,
+                self.http_client,
                 address,
                 COPY_PATH,
                 CopyQuestion(batch_id),
@@ -188,7 +188,7 @@
     async def probe(self, address: str) -> None:
         """Asks a node whether it lives."""
         await calls.post(
-            self.exchanger, address, PROBE_PATH, Probe(), PROBE_TIMEOUT_S
+            self.http_client, address, PROBE_PATH, Probe(), PROBE_TIMEOUT_S
         )
 
 
--- a/src/kingcupscale/platform/cloud.py
+++ b/src/kingcupscale/platform/cloud.py
@@ -4,7 +4,7 @@
 from kingcupscale.platform import names
 from kingcupscale.storage import tenure as tenures
 from kingcupscale.usage import windows
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
 CALL_TIMEOUT_S = 1.0
@@ -14,12 +14,14 @@
     """Sends usage reports and orders over HTTP.
 
     Args:
-        exchanger: Carries the calls.
+        http_client: Carries the calls.
         address: ``host:port`` of the interface.
     """
 
-    def __init__(self, exchanger: exchange.Exchanger, address: str) -> None:
-        self.exchanger = exchanger
+    def __init__(
+        self, http_client: httpclient.HttpClient, address: str
+    ) -> None:
+        self.http_client = http_client
         self.address = address
 
     async def report(
@@ -29,7 +31,7 @@
         body = {"window": window, "counts": counts}
         try:
             response = await self._post("/usage", body, holder)
-        except exchange.ExchangeError as e:
+        except httpclient.RequestError as e:
             raise windows.ReportError(e.reason, False) from e
         except tenures.DutyLostError as e:
             raise windows.ReportError("the duty is not held", False) from e
@@ -51,7 +53,7 @@
             body["spot"] = True
         try:
             response = await self._post("/scale", body, holder)
-        except exchange.ExchangeError as e:
+        except httpclient.RequestError as e:
             raise fleetsize.OrderError(e.reason) from e
         except tenures.DutyLostError as e:
             raise fleetsize.OrderError("the duty is not held") from e
@@ -72,6 +74,6 @@
         }
         request = message.json_request(path, body, headers)
         request.before_send = holder.check
-        return await exchange.fetch(
-            self.exchanger, self.address, request, CALL_TIMEOUT_S
+        return await httpclient.fetch(
+            self.http_client, self.address, request, CALL_TIMEOUT_S
         )
--- a/src/kingcupscale/platform/process.py
+++ b/src/kingcupscale/platform/process.py
@@ -28,7 +28,7 @@
 from kingcupscale.platform import servers
 from kingcupscale.platform import settingsfile
 from kingcupscale.platform import store
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import limits
 from kingcupscale.web import message
 from kingcupscale.web import server
@@ -60,10 +60,10 @@
 class Exchangers:
     """What carries a node's calls, by whom they go to."""
 
-    store: exchange.Exchanger
-    servers: exchange.Exchanger
-    peers: exchange.Exchanger
-    cloud: exchange.Exchanger
+    store: httpclient.HttpClient
+    servers: httpclient.HttpClient
+    peers: httpclient.HttpClient
+    cloud: httpclient.HttpClient
 
 
 def make_runtime(
@@ -144,10 +144,10 @@
         await _wait_for_stop(path)
         return
     exchangers = Exchangers(
-        exchange.HttpExchanger(idle_s=STORE_IDLE_S),
-        exchange.HttpExchanger(idle_s=SERVER_IDLE_S),
-        exchange.HttpExchanger(idle_s=SERVER_IDLE_S),
-        exchange.HttpExchanger(idle_s=SERVER_IDLE_S),
+        httpclient.PooledHttpClient(idle_s=STORE_IDLE_S),
+        httpclient.PooledHttpClient(idle_s=SERVER_IDLE_S),
+        httpclient.PooledHttpClient(idle_s=SERVER_IDLE_S),
+        httpclient.PooledHttpClient(idle_s=SERVER_IDLE_S),
     )
     runtime = make_runtime(
         settings, exchangers, clocks.SystemClock(), random.Random()
--- a/src/kingcupscale/platform/servers.py
+++ b/src/kingcupscale/platform/servers.py
@@ -10,7 +10,7 @@
 from kingcupscale.platform import documents
 from kingcupscale.platform import names
 from kingcupscale.storage import tenure as tenures
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
 # An order is acknowledged before it is carried out, so its answer is short.
@@ -32,11 +32,11 @@
     """A ``ServerClient`` over HTTP.
 
     Args:
-        exchanger: Carries the calls.
+        http_client: Carries the calls.
     """
 
-    def __init__(self, exchanger: exchange.Exchanger) -> None:
-        self.exchanger = exchanger
+    def __init__(self, http_client: httpclient.HttpClient) -> None:
+        self.http_client = http_client
 
     @contextlib.asynccontextmanager
     async def run(
@@ -54,7 +54,7 @@
         if call.check is not None:
             request.before_send = call.check
         try:
-            async with self.exchanger.open(
+            async with self.http_client.open(
                 server.entry.address, request, call.time_left_s
             ) as response:
                 _note_leaving(server, response)
@@ -68,8 +68,10 @@
                         f"answer to another request, {echoed}", True
                     )
                 yield answer
-        except exchange.ExchangeError as e:
-            raise serverclient.ServerError(e.reason, e.request_left) from e
+        except httpclient.RequestError as e:
+            raise serverclient.ServerError(
+                e.reason, e.may_have_been_sent
+            ) from e
 
     async def events(
         self, answer: serverclient.Answer
@@ -136,15 +138,17 @@
     ) -> message.Response:
         request.headers["host"] = server.entry.address
         try:
-            response = await exchange.fetch(
-                self.exchanger,
+            response = await httpclient.fetch(
+                self.http_client,
                 server.entry.address,
                 request,
                 ORDER_TIMEOUT_S,
                 REPORT_BYTES_MOST,
             )
-        except exchange.ExchangeError as e:
-            raise serverclient.ServerError(e.reason, e.request_left) from e
+        except httpclient.RequestError as e:
+            raise serverclient.ServerError(
+                e.reason, e.may_have_been_sent
+            ) from e
         except tenures.DutyLostError as e:
             raise serverclient.ServerError("duty not held", False) from e
         if names.SIGNATURE in response.headers:
--- a/src/kingcupscale/platform/store.py
+++ b/src/kingcupscale/platform/store.py
@@ -8,7 +8,7 @@
 import orjson
 
 from kingcupscale.storage import store as stores
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
 # The store answers in milliseconds; a call that takes longer is given up and
@@ -20,15 +20,17 @@
     """Calls the metadata store over HTTP.
 
     Args:
-        exchanger: Carries the calls.
+        http_client: Carries the calls.
         address: ``host:port`` of the store.
 
     Attributes:
         calls: Calls that were made, by the first part of their path.
     """
 
-    def __init__(self, exchanger: exchange.Exchanger, address: str) -> None:
-        self.exchanger = exchanger
+    def __init__(
+        self, http_client: httpclient.HttpClient, address: str
+    ) -> None:
+        self.http_client = http_client
         self.address = address
         self.calls: collections.Counter[str] = collections.Counter()
 
@@ -116,12 +118,12 @@
             request.headers["content-type"] = "application/json"
             request.body = orjson.dumps(body)
         try:
-            response = await exchange.fetch(
-                self.exchanger, self.address, request, CALL_TIMEOUT_S + wait_s
+            response = await httpclient.fetch(
+                self.http_client, self.address, request, CALL_TIMEOUT_S + wait_s
             )
             fields = orjson.loads(response.body) if response.body else {}
-        except exchange.ExchangeError as e:
-            raise stores.StoreError(e.reason, e.request_left) from e
+        except httpclient.RequestError as e:
+            raise stores.StoreError(e.reason, e.may_have_been_sent) from e
         except ValueError as e:
             raise stores.StoreError(f"unreadable answer: {e}", True) from e
         return response.status, fields if isinstance(fields, dict) else {}
--- a/src/kingcupscale/providers/calls.py
+++ b/src/kingcupscale/providers/calls.py
@@ -6,7 +6,7 @@
 import orjson
 
 from kingcupscale import codec
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
 T = TypeVar("T")
@@ -32,18 +32,18 @@
     """A client of one platform service, the base of the typed ones.
 
     Args:
-        exchanger: What carries the calls.
+        http_client: What carries the calls.
         address: ``host:port`` of the service.
         timeout_s: Seconds a call may take.
     """
 
     def __init__(
         self,
-        exchanger: exchange.Exchanger,
+        http_client: httpclient.HttpClient,
         address: str,
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> None:
-        self.exchanger = exchanger
+        self.http_client = http_client
         self.address = address
         self.timeout_s = timeout_s
 
@@ -62,12 +62,12 @@
         """
         timeout_s = self.timeout_s + wait_s
         return await call(
-            self.exchanger, self.address, request, kind, timeout_s
+            self.http_client, self.address, request, kind, timeout_s
         )
 
 
 async def call(
-    exchanger: exchange.Exchanger,
+    http_client: httpclient.HttpClient,
     address: str,
     request: message.Request,
     kind: type[T],
@@ -79,9 +79,11 @@
         PlatformError: If no whole answer of the type comes.
     """
     try:
-        response = await exchange.fetch(exchanger, address, request, timeout_s)
-    except exchange.ExchangeError as e:
-        raise PlatformError(e.reason, e.request_left) from e
+        response = await httpclient.fetch(
+            http_client, address, request, timeout_s
+        )
+    except httpclient.RequestError as e:
+        raise PlatformError(e.reason, e.may_have_been_sent) from e
     if response.status != 200:
         raise PlatformError(_describe(response), response.status >= 500)
     try:
--- a/src/kingcupscale/providers/engine.py
+++ b/src/kingcupscale/providers/engine.py
@@ -7,7 +7,7 @@
 
 from kingcupscale import codec
 from kingcupscale.providers import calls
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
 LOAD_HEADER = "x-engine-load"
@@ -103,7 +103,7 @@
 
 
 async def send_order(
-    exchanger: exchange.Exchanger,
+    http_client: httpclient.HttpClient,
     address: str,
     order: EngineOrder,
     timeout_s: float,
@@ -117,12 +117,16 @@
     request = message.json_request("/orders", order)
     request.headers["connection"] = "close"
     request.before_send = before_send
-    return await calls.call(exchanger, address, request, EngineState, timeout_s)
+    return await calls.call(
+        http_client, address, request, EngineState, timeout_s
+    )
 
 
 async def read_state(
-    exchanger: exchange.Exchanger, address: str, timeout_s: float
+    http_client: httpclient.HttpClient, address: str, timeout_s: float
 ) -> EngineState:
     """Asks an engine which versions it holds."""
     request = message.Request("GET", "/state")
-    return await calls.call(exchanger, address, request, EngineState, timeout_s)
+    return await calls.call(
+        http_client, address, request, EngineState, timeout_s
+    )
--- a/src/kingcupscale/rollouts/activation.py
+++ b/src/kingcupscale/rollouts/activation.py
@@ -15,7 +15,7 @@
 from kingcupscale.providers import engine
 from kingcupscale.rollouts import publication
 from kingcupscale.serving import services
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 
 STAGES_AT_A_TIME = 4
 STAGE_PATIENCE_S = 60.0
@@ -79,7 +79,7 @@
         zone: The availability zone.
         pools: The services.
         publications: What is published and staged.
-        exchanger: Reaches the engines.
+        http_client: Reaches the engines.
         desk: Sends the orders.
         clock: Tells the time.
         order_timeout_s: Longest time an order may be under way.
@@ -90,7 +90,7 @@
         zone: str,
         pools: services.Services,
         publications: publication.Publications,
-        exchanger: exchange.Exchanger,
+        http_client: httpclient.HttpClient,
         desk: orderdesk.OrderDesk,
         clock: clocks.Clock,
         order_timeout_s: float,
@@ -98,7 +98,7 @@
         self.zone = zone
         self.pools = pools
         self.publications = publications
-        self.exchanger = exchanger
+        self.http_client = http_client
         self.desk = desk
         self.clock = clock
         self.order_timeout_s = order_timeout_s
@@ -145,7 +145,7 @@
         async with limiter:
             try:
                 view.state = await engine.read_state(
-                    self.exchanger, view.address, self.order_timeout_s
+                    self.http_client, view.address, self.order_timeout_s
                 )
             except calls.PlatformError:
                 view.state = None
@@ -221,7 +221,7 @@
         """Sends one journalled order to its engine."""
         body = codec.decode(engine.EngineOrder, order.detail)
         state = await engine.send_order(
-            self.exchanger,
+            self.http_client,
             order.target,
             attrs.evolve(body, epoch=order.epoch),
             self.order_timeout_s,
--- a/src/kingcupscale/rollouts/trainer.py
+++ b/src/kingcupscale/rollouts/trainer.py
@@ -11,7 +11,7 @@
 from kingcupscale import errors
 from kingcupscale.rollouts import messages
 from kingcupscale.rollouts import received
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
 TIMEOUT_S = 30.0
@@ -58,7 +58,7 @@
     """Runs rollout steps against whichever node answers.
 
     Args:
-        exchanger: Carries the requests.
+        http_client: Carries the requests.
         nodes: ``host:port`` of the callers' listeners, or the balancer's.
         key: The trainer's key.
         clock: Tells the time.
@@ -74,12 +74,12 @@
 
     def __init__(
         self,
-        exchanger: exchange.Exchanger,
+        http_client: httpclient.HttpClient,
         nodes: list[str],
         key: str,
         clock: clocks.Clock,
     ) -> None:
-        self.exchanger = exchanger
+        self.http_client = http_client
         self.nodes = nodes
         self.headers = {"authorization": f"Bearer {key}"}
         self.clock = clock
@@ -133,7 +133,7 @@
         try:
             response = await self._post(messages.FETCH_PATH, body)
             return codec.decode(messages.FetchAnswer, response.body)
-        except (exchange.ExchangeError, errors.ServiceError, ValueError):
+        except (httpclient.RequestError, errors.ServiceError, ValueError):
             await self._change_node()
             return None
 
@@ -144,7 +144,7 @@
         body = messages.CancelRequest(specification.step)
         try:
             await self._post(messages.CANCEL_PATH, body)
-        except (exchange.ExchangeError, errors.ServiceError):
+        except (httpclient.RequestError, errors.ServiceError):
             return
 
     async def publish(self, version: int) -> None:
@@ -158,7 +158,7 @@
             try:
                 await self._post(path, body)
                 return
-            except (exchange.ExchangeError, errors.ServiceError):
+            except (httpclient.RequestError, errors.ServiceError):
                 await self._change_node()
 
     async def _change_node(self) -> None:
@@ -169,8 +169,8 @@
     async def _post(self, path: str, body: object) -> message.Response:
         request = message.json_request(path, body, dict(self.headers))
         node = self.nodes[self.current]
-        response = await exchange.fetch(
-            self.exchanger, node, request, TIMEOUT_S
+        response = await httpclient.fetch(
+            self.http_client, node, request, TIMEOUT_S
         )
         if response.status == 200:
             return response
--- a/src/kingcupscale/serving/generation.py
+++ b/src/kingcupscale/serving/generation.py
@@ -18,7 +18,7 @@
 from kingcupscale.serving import scheduler
 from kingcupscale.serving import services
 from kingcupscale.usage import counter
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
 PREFIX_CHARACTERS = 64
@@ -85,7 +85,7 @@
 
     Args:
         pools: The services.
-        exchanger: Carries the requests.
+        http_client: Carries the requests.
         counters: Counts the tokens.
         metrics: Histograms.
     """
@@ -93,12 +93,12 @@
     def __init__(
         self,
         pools: services.Services,
-        exchanger: exchange.Exchanger,
+        http_client: httpclient.HttpClient,
         counters: counter.Counters,
         metrics: metric.Metrics,
     ) -> None:
         self.pools = pools
-        self.exchanger = exchanger
+        self.http_client = http_client
         self.counters = counters
         self.metrics = metrics
         self.clock = pools.clock
@@ -209,7 +209,7 @@
                 job.label, job.class_name, 1, len(job.prompt.split())
             )
         try:
-            async with self.exchanger.open(
+            async with self.http_client.open(
                 state.server.address, request, PIECE_TIMEOUT_S
             ) as response:
                 await _check_status(response)
@@ -228,7 +228,7 @@
                             last = piece
                         else:
                             yield piece
-        except exchange.ExchangeError as e:
+        except httpclient.RequestError as e:
             raise _BrokenError(e.reason) from e
         if last is None:
             raise _BrokenError("the answer ended early")
--- a/src/kingcupscale/serving/plain.py
+++ b/src/kingcupscale/serving/plain.py
@@ -17,7 +17,7 @@
 from kingcupscale.serving import scheduler
 from kingcupscale.serving import services
 from kingcupscale.usage import counter
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
 SAFE_METHODS = ("GET", "HEAD")
@@ -54,7 +54,7 @@
 
     Args:
         pools: The services.
-        exchanger: Carries the requests.
+        http_client: Carries the requests.
         claimer: Makes Idempotency-Keys safe across nodes.
         counters: Counts the requests.
         metrics: Histograms.
@@ -63,13 +63,13 @@
     def __init__(
         self,
         pools: services.Services,
-        exchanger: exchange.Exchanger,
+        http_client: httpclient.HttpClient,
         claimer: claims.Claims,
         counters: counter.Counters,
         metrics: metric.Metrics,
     ) -> None:
         self.pools = pools
-        self.exchanger = exchanger
+        self.http_client = http_client
         self.claimer = claimer
         self.counters = counters
         self.metrics = metrics
@@ -140,9 +140,9 @@
             async with pool.scheduler.slot(ticket) as state:
                 try:
                     return await self._send(pool, call, state)
-                except exchange.ExchangeError as e:
+                except httpclient.RequestError as e:
                     pool.router.note_failure(state)
-                    if e.request_left and not is_idempotent:
+                    if e.may_have_been_sent and not is_idempotent:
                         raise _unknown(e.reason) from e
                     excluded = {*excluded, state.name}
             if not pool.router.usable(self._make_wish(excluded)):
@@ -171,15 +171,15 @@
         state: routing.ServerState,
     ) -> message.Response:
         request = _make_request(call)
-        response = await exchange.fetch(
-            self.exchanger,
+        response = await httpclient.fetch(
+            self.http_client,
             state.server.address,
             request,
             pool.service.timeout_s,
         )
         if _says_leaving(response):
             state.is_leaving = True
-            raise exchange.ExchangeError("leaving", request_left=False)
+            raise httpclient.RequestError("leaving", may_have_been_sent=False)
         expected = request.headers[REQUEST_ID_HEADER]
         if response.headers.get(REQUEST_ID_HEADER) != expected:
             events.log(
@@ -188,7 +188,9 @@
                 server=state.name,
                 reason="an answer to another request",
             )
-            raise exchange.ExchangeError("crossed answer", request_left=True)
+            raise httpclient.RequestError(
+                "crossed answer", may_have_been_sent=True
+            )
         pool.router.note_success(state)
         self.counters.add(call.grant.label, call.grant.service_class, 1)
         headers = {
--- a/src/kingcupscale/web/exchange.py
+++ b/src/kingcupscale/web/httpclient.py
@@ -14,21 +14,21 @@
 from kingcupscale.web import message
 
 
-class ExchangeError(Exception):
+class RequestError(Exception):
     """An exchange that brought no whole answer.
 
     Args:
         reason: What went wrong.
-        request_left: Whether a byte of the request may have left.
+        may_have_been_sent: Whether a byte of the request may have left.
     """
 
-    def __init__(self, reason: str, request_left: bool) -> None:
+    def __init__(self, reason: str, may_have_been_sent: bool) -> None:
         super().__init__(reason)
         self.reason = reason
-        self.request_left = request_left
+        self.may_have_been_sent = may_have_been_sent
 
 
-class Exchanger(Protocol):
+class HttpClient(Protocol):
     """Carries requests to an address and brings answers back."""
 
     def open(
@@ -42,13 +42,13 @@
             timeout_s: Seconds for the connection and for each read.
 
         Raises:
-            ExchangeError: If no answer comes, or it breaks off.
+            RequestError: If no answer comes, or it breaks off.
         """
         ...
 
 
 async def fetch(
-    exchanger: Exchanger,
+    http_client: HttpClient,
     address: str,
     request: message.Request,
     timeout_s: float,
@@ -57,21 +57,21 @@
     """Sends a request and returns the whole answer.
 
     Args:
-        exchanger: What carries the request.
+        http_client: What carries the request.
         address: ``host:port``.
         request: What to send.
         timeout_s: Seconds for the whole exchange.
         most_bytes: Longest body that makes sense; None for any.
 
     Raises:
-        ExchangeError: If no whole answer comes in time.
+        RequestError: If no whole answer comes in time.
     """
     with trio.move_on_after(timeout_s):
-        async with exchanger.open(address, request, timeout_s) as response:
+        async with http_client.open(address, request, timeout_s) as response:
             if not await response.read_within(most_bytes):
-                raise ExchangeError("body too long", request_left=True)
+                raise RequestError("body too long", may_have_been_sent=True)
             return response
-    raise ExchangeError("no whole answer in time", request_left=True)
+    raise RequestError("no whole answer in time", may_have_been_sent=True)
 
 
 _NOT_SENT = (
@@ -103,7 +103,7 @@
 ]
 
 
-class HttpExchanger:
+class PooledHttpClient:
     """Sends requests over HTTP/1.1 with pooled connections.
 
     Each address has a pool of its own, as a pool looks at all of its
@@ -218,7 +218,7 @@
     """Sends a request over a connection of a pool.
 
     Raises:
-        ExchangeError: If no answer comes, or it breaks off.
+        RequestError: If no answer comes, or it breaks off.
     """
     stream = pool.stream(
         request.method,
@@ -234,16 +234,16 @@
             with trio.move_on_after(connect_s + timeout_s) as scope:
                 answer = await stack.enter_async_context(stream)
             if scope.cancelled_caught:
-                raise ExchangeError("no head in time", request_left=True)
+                raise RequestError("no head in time", may_have_been_sent=True)
             yield message.Response(
                 answer.status,
                 _decode_headers(answer.headers),
                 chunks=answer.aiter_stream(),
             )
     except _NOT_SENT as e:
-        raise ExchangeError(repr(e), request_left=False) from e
+        raise RequestError(repr(e), may_have_been_sent=False) from e
     except _HTTP_ERRORS as e:
-        raise ExchangeError(repr(e), request_left=True) from e
+        raise RequestError(repr(e), may_have_been_sent=True) from e
 
 
 def _url(address: str, request: message.Request) -> str:
--- a/tests/batches/fleets.py
+++ b/tests/batches/fleets.py
@@ -101,7 +101,7 @@
         super().__init__(handler)
         self.rng = rng
 
-    @relay.exchange.contextlib.asynccontextmanager
+    @relay.httpclient.contextlib.asynccontextmanager
     async def _open(self, request):
         await trio.sleep(self.rng.choice([0.001, 0.01, 0.1]))
         response = await self.handler(request)
--- a/tests/platform/test_endless.py
+++ b/tests/platform/test_endless.py
@@ -28,7 +28,7 @@
 from kingcupscale.platform import servers
 from kingcupscale.storage import tenure as tenures
 from kingcupscale.storage import view as views
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from tests.platform import endlessserver
 from tests.platform import standin
 
@@ -62,8 +62,8 @@
 
     def __init__(self, server):
         self.clock = clocks.SystemClock()
-        self.exchanger = exchange.HttpExchanger()
-        self.client = servers.PlatformServers(self.exchanger)
+        self.http_client = httpclient.PooledHttpClient()
+        self.client = servers.PlatformServers(self.http_client)
         self.roster = roster.Roster(self.clock, lambda: 0.0, lambda: False)
         for name, service in (
             ("plain", "plain"),
@@ -156,7 +156,7 @@
                 await nursery.start(server.serve)
                 world = World(server)
                 await use(server, world)
-                await world.exchanger.aclose()
+                await world.http_client.aclose()
                 nursery.cancel_scope.cancel()
 
     with mock.patch.object(generation, "HEAD_S", HEAD_S):
@@ -191,7 +191,7 @@
             world.roster.servers["plain"].note_success()
             await world.call(2, path)
             await trio.sleep(0.05)
-            await world.exchanger.aclose()
+            await world.http_client.aclose()
             self.assertGreaterEqual(server.connections, 2)
             with trio.move_on_after(2):
                 while server.closed < server.connections:
@@ -279,7 +279,7 @@
                         await world.send(2, path)
                     self.assertEqual(caught.exception.code.status, 502)
                 self.assertEqual(server.stuttered, 1)
-                await world.exchanger.aclose()
+                await world.http_client.aclose()
                 nursery.cancel_scope.cancel()
 
         trio.run(main)
--- a/tests/platform/test_permission.py
+++ b/tests/platform/test_permission.py
@@ -51,21 +51,21 @@
     return tenure
 
 
-async def _report(exchanger, holder):
-    await cloud.PlatformCloud(exchanger, "cloud").report(5, {"a": 1}, holder)
+async def _report(http_client, holder):
+    await cloud.PlatformCloud(http_client, "cloud").report(5, {"a": 1}, holder)
 
 
-async def _scale(exchanger, holder):
+async def _scale(http_client, holder):
     order = fleetsize.Order("engines", "a", 2)
-    await cloud.PlatformCloud(exchanger, "cloud").order(order, holder)
+    await cloud.PlatformCloud(http_client, "cloud").order(order, holder)
 
 
-async def _load(exchanger, holder):
+async def _load(http_client, holder):
     entry = roster.ServerEntry(
         "e1", "engines", "e1:80", "a", roster.ServerState.READY, 4, 1
     )
     order = serverclient.VersionOrder("m", 2, True, holder, 0)
-    client = servers.PlatformServers(exchanger)
+    client = servers.PlatformServers(http_client)
     await client.order(roster.Server(entry), order)
 
 
@@ -89,12 +89,12 @@
         tenure = _make_tenure(clock)
         await trio.sleep(CHECKED_S)
         self.assertTrue(tenure.is_held())
-        exchanger = SlowExchanger(delay_s)
+        http_client = SlowExchanger(delay_s)
         failures = (
             windows.ReportError,
             fleetsize.OrderError,
             serverclient.ServerError,
         )
         with contextlib.suppress(*failures):
-            await send(exchanger, tenure.holder())
-        self.assertEqual(len(exchanger.left), leaves)
+            await send(http_client, tenure.holder())
+        self.assertEqual(len(http_client.left), leaves)
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -6,7 +6,7 @@
 import trio
 
 from kingcupscale.platform import names
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 from tests.platform import standin
 
@@ -125,7 +125,7 @@
     def __init__(self, world, rng):
         self.world = world
         self.rng = rng
-        self.exchanger = exchange.HttpExchanger()
+        self.http_client = httpclient.PooledHttpClient()
 
     def pick(self):
         """Returns a node."""
@@ -143,10 +143,10 @@
         request = message.Request(method, path, query, headers, body)
         address = node.front.address
         try:
-            answer = await exchange.fetch(
-                self.exchanger, address, request, limit_s
+            answer = await httpclient.fetch(
+                self.http_client, address, request, limit_s
             )
-        except exchange.ExchangeError:
+        except httpclient.RequestError:
             return 0, None
         return answer.status, answer
 
@@ -275,9 +275,9 @@
         "GET", names.READY_PATH, "", {"host": node.readiness}
     )
     fetch = functools.partial(
-        exchange.fetch, exchange.HttpExchanger(), node.readiness, request
+        httpclient.fetch, httpclient.PooledHttpClient(), node.readiness, request
     )
     try:
         return (await fetch(1.0)).status == 200
-    except exchange.ExchangeError:
+    except httpclient.RequestError:
         return False
--- a/tests/storage/test_relay.py
+++ b/tests/storage/test_relay.py
@@ -12,7 +12,7 @@
 from kingcupscale.storage import changelog
 from kingcupscale.storage import feed as feeds
 from kingcupscale.storage import store as stores
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from tests import virtual
 
 
@@ -29,7 +29,7 @@
     def open(self, address, request, timeout_s):
         return self._open(request)
 
-    @exchange.contextlib.asynccontextmanager
+    @httpclient.contextlib.asynccontextmanager
     async def _open(self, request):
         yield await self.handler(request)
 
--- a/tests/test_breaks.py
+++ b/tests/test_breaks.py
@@ -37,7 +37,7 @@
         async with clusters.running(size) as cluster:
             cluster.network.serve("twice", "twice:80", Twice())
             client = trainers.TrainerClient(
-                cluster.exchanger,
+                cluster.http_client,
                 ["twice:80"],
                 "key",
                 virtualtime.VirtualClock(),
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -32,8 +32,8 @@
 
     def make_client(self, name):
         self.network.add(name, lambda: None)
-        exchanger = networks.MemoryExchanger(self.network, name)
-        return keyvalue.HttpKeyValueStore(exchanger, "kv:80")
+        http_client = networks.MemoryExchanger(self.network, name)
+        return keyvalue.HttpKeyValueStore(http_client, "kv:80")
 
     def make_lease(self, name):
         return leases.Lease(
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -7,7 +7,7 @@
 import trio
 
 from kingcupscale.fakes import cluster as clusters
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 from tests import virtual
 
@@ -94,8 +94,8 @@
                 {"authorization": f"Bearer {cluster.issued[0].text}"},
             ):
                 request = message.Request("GET", "/status", "", headers)
-                response = await exchange.fetch(
-                    cluster.exchanger, "node-1:operators", request, 5
+                response = await httpclient.fetch(
+                    cluster.http_client, "node-1:operators", request, 5
                 )
                 self.assertEqual(response.status, 401)
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -17,7 +17,7 @@
 from kingcupscale.fakes import judge
 from kingcupscale.fakes import tables as sample
 from kingcupscale.rollouts import trainer as trainers
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 
 NODES = 3
 LIMIT_S = 90
@@ -45,7 +45,7 @@
         self.deployment = deployment
         self.record = record
         self.victim = victim
-        self.exchanger = exchange.HttpExchanger()
+        self.http_client = httpclient.PooledHttpClient()
         self.clock = clocks.SystemClock()
         self.nodes = [
             callers.NodeAddress(node.name, node.listeners.callers)
@@ -65,11 +65,11 @@
                 working.start_soon(strike, pid)
                 working.start_soon(self._train)
             nursery.cancel_scope.cancel()
-        await self.exchanger.aclose()
+        await self.http_client.aclose()
 
     async def _call(self, issued):
         caller = callers.Caller(
-            self.exchanger,
+            self.http_client,
             callers.Balancer(self.nodes),
             issued,
             self.record,
@@ -82,7 +82,7 @@
 
     async def _train(self):
         client = trainers.TrainerClient(
-            self.exchanger,
+            self.http_client,
             [node.address for node in self.nodes],
             self.deployment.trainer_keys[0].text,
             self.clock,
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -14,7 +14,7 @@
 from kingcupscale.fakes import service as fake_service
 from kingcupscale.fakes import virtualtime
 from kingcupscale.serving import retrybudget
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 from tests import virtual
 
@@ -25,8 +25,8 @@
 async def ask(cluster, request, key=None, node="node-1"):
     if key is not None:
         request.headers["authorization"] = f"Bearer {key}"
-    return await exchange.fetch(
-        cluster.exchanger, f"{node}:callers", request, 60
+    return await httpclient.fetch(
+        cluster.http_client, f"{node}:callers", request, 60
     )
 
 
--- a/tests/test_web_pools.py
+++ b/tests/test_web_pools.py
@@ -7,7 +7,7 @@
 import trio
 
 from kingcupscale import errors
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 from kingcupscale.web import server
 from tests import test_web_server as servers
@@ -25,7 +25,7 @@
         """Another address's requests close only pools that nobody uses."""
 
         async def main():
-            exchanger = exchange.HttpExchanger(idle_s=0.1)
+            http_client = httpclient.PooledHttpClient(idle_s=0.1)
             async with trio.open_nursery() as nursery:
                 stop = trio.Event()
                 first, second = [
@@ -40,39 +40,39 @@
                 ]
                 path = "/stream" if is_open else "/"
                 request = message.Request("GET", path)
-                async with exchanger.open(first, request, 5) as response:
+                async with http_client.open(first, request, 5) as response:
                     if not is_open:
                         await response.read()
                     else:
                         await trio.sleep(pause_s)
-                        await exchange.fetch(
-                            exchanger, second, message.Request("GET", "/"), 5
+                        await httpclient.fetch(
+                            http_client, second, message.Request("GET", "/"), 5
                         )
                         self.assertEqual(await response.read(), b"01234")
                 if not is_open:
                     await trio.sleep(pause_s)
-                    await exchange.fetch(
-                        exchanger, second, message.Request("GET", "/"), 5
+                    await httpclient.fetch(
+                        http_client, second, message.Request("GET", "/"), 5
                     )
                 self.assertEqual(
-                    sum(address == first for address in exchanger.pools),
+                    sum(address == first for address in http_client.pools),
                     pools_left,
                 )
-                await exchanger.aclose()
+                await http_client.aclose()
                 stop.set()
 
         trio.run(main)
 
     @servers.on_sockets
     async def test_connection_is_used_again(self, address, handler, stop):
-        exchanger = exchange.HttpExchanger()
+        http_client = httpclient.PooledHttpClient()
         for _ in range(3):
-            await exchange.fetch(
-                exchanger, address, message.Request("GET", "/"), 5
+            await httpclient.fetch(
+                http_client, address, message.Request("GET", "/"), 5
             )
-        (kept,) = exchanger.pools.values()
+        (kept,) = http_client.pools.values()
         self.assertEqual(len(kept.pool.connections), 1)
-        await exchanger.aclose()
+        await http_client.aclose()
 
     @servers.on_sockets
     async def test_guarded_requests_leave_room_for_others(
@@ -84,10 +84,10 @@
         async def send(before_send):
             request = message.Request("GET", "/", before_send=before_send)
             with contextlib.suppress(errors.ServiceError):
-                await exchange.fetch(exchanger, address, request, 5)
+                await httpclient.fetch(http_client, address, request, 5)
                 answered.append(before_send)
 
-        exchanger = exchange.HttpExchanger(max_connections=2)
+        http_client = httpclient.PooledHttpClient(max_connections=2)
         answered = []
         async with trio.open_nursery() as nursery:
             for _ in range(10):
@@ -95,6 +95,6 @@
                 nursery.start_soon(send, message.allow_send)
         await send(message.allow_send)
         self.assertEqual(answered, [message.allow_send] * 11)
-        (kept,) = exchanger.pools.values()
+        (kept,) = http_client.pools.values()
         self.assertLessEqual(len(kept.pool.connections), 2)
-        await exchanger.aclose()
+        await http_client.aclose()
--- a/tests/test_web_server.py
+++ b/tests/test_web_server.py
@@ -10,7 +10,7 @@
 import trio
 
 from kingcupscale import errors
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import limits
 from kingcupscale.web import message
 from kingcupscale.web import server
@@ -150,17 +150,17 @@
 
     @on_sockets
     async def test_stop_ends_a_stream_in_order(self, address, handler, stop):
-        exchanger = exchange.HttpExchanger()
+        http_client = httpclient.PooledHttpClient()
         request = message.Request("GET", "/stream")
-        async with exchanger.open(address, request, 5) as response:
+        async with http_client.open(address, request, 5) as response:
             await handler.started.wait()
             stop.set()
             self.assertEqual(await response.read(), b"01234")
-        await exchanger.aclose()
+        await http_client.aclose()
 
     def test_stop_does_not_wait_for_idle_connections(self):
         async def main():
-            exchanger = exchange.HttpExchanger()
+            http_client = httpclient.PooledHttpClient()
             async with trio.open_nursery() as nursery:
                 stop = trio.Event()
                 address = await nursery.start(
@@ -168,7 +168,7 @@
                 )
                 request = message.Request("GET", "/")
                 for _ in range(20):
-                    await exchange.fetch(exchanger, address, request, 5)
+                    await httpclient.fetch(http_client, address, request, 5)
                 stop.set()
 
         async def guarded():
@@ -182,12 +182,12 @@
 class ExchangeTest(unittest.TestCase):
     def test_refused_connection_says_nothing_left(self):
         async def main():
-            exchanger = exchange.HttpExchanger()
-            with self.assertRaises(exchange.ExchangeError) as caught:
-                await exchange.fetch(
-                    exchanger, "127.0.0.1:1", message.Request("GET", "/"), 2
+            http_client = httpclient.PooledHttpClient()
+            with self.assertRaises(httpclient.RequestError) as caught:
+                await httpclient.fetch(
+                    http_client, "127.0.0.1:1", message.Request("GET", "/"), 2
                 )
-            self.assertFalse(caught.exception.request_left)
+            self.assertFalse(caught.exception.may_have_been_sent)
 
         trio.run(main)
 
@@ -195,10 +195,12 @@
         async def main():
             (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
             host, port = listener.socket.getsockname()
-            exchanger = exchange.HttpExchanger()
+            http_client = httpclient.PooledHttpClient()
             request = message.Request("POST", "/", body=b"late")
-            with self.assertRaises(exchange.ExchangeError):
-                await exchange.fetch(exchanger, f"{host}:{port}", request, 0.2)
+            with self.assertRaises(httpclient.RequestError):
+                await httpclient.fetch(
+                    http_client, f"{host}:{port}", request, 0.2
+                )
             stream = await listener.accept()
             # A reset, not an orderly end: what is held up is not sent later.
             with self.assertRaises(trio.BrokenResourceError):
@@ -215,12 +217,12 @@
         def refuse():
             raise errors.ServiceError(errors.ResultCode.LEASE_LOST)
 
-        exchanger = exchange.HttpExchanger()
+        http_client = httpclient.PooledHttpClient()
         request = message.Request("GET", "/slow", before_send=refuse)
         with self.assertRaises(errors.ServiceError):
-            await exchange.fetch(exchanger, address, request, 5)
+            await httpclient.fetch(http_client, address, request, 5)
         self.assertFalse(handler.started.is_set())
-        await exchanger.aclose()
+        await http_client.aclose()
 
 
 class ConnectionTest(unittest.TestCase):
