--- a/tests/platform/standin.py
+++ b/tests/platform/harness.py
@@ -18,8 +18,8 @@
 from kingcupscale.platform import names
 from kingcupscale.platform import process
 from kingcupscale.web import message
+from tests.platform import fakestore
 from tests.platform import serverstandin
-from tests.platform import storestandin
 
 STORE = "store:1"
 CLOUD = "cloud:1"
@@ -146,7 +146,9 @@
         self.scope = trio.CancelScope()
         site.network.add(name, self.scope.cancel)
         site.network.serve(name, settings.callers, self.frontend)
-        site.network.serve(name, settings.peers, self.runtime.answer_peer)
+        site.network.serve(
+            name, settings.peers, self.runtime.handle_peer_request
+        )
 
     async def run(self):
         with self.scope:
@@ -160,10 +162,10 @@
         self.nursery = nursery
         self.clock = virtualtime.VirtualClock()
         self.network = networks.Network(nursery, plan or faults.FaultPlan())
-        self.broken = []
+        self.violations = []
         self.runs = []
         self.orders = []
-        self.store = storestandin.Store()
+        self.store = fakestore.Store()
         self.cloud = serverstandin.Cloud(self)
         self.network.serve("store", STORE, self.store)
         self.network.serve("cloud", CLOUD, self.cloud)
@@ -191,7 +193,7 @@
     def write_configuration(self, configuration):
         self.store.put(names.CONFIGURATION_KEY, orjson.dumps(configuration))
 
-    def name_version(self, version, model=MODEL):
+    def set_target_version(self, version, model=MODEL):
         self.store.put(
             names.VERSIONS_PREFIX + model,
             orjson.dumps({"model": model, "version": version}),
@@ -258,7 +260,7 @@
 
 
 @contextlib.asynccontextmanager
-async def opened(nodes=2, plan=None, is_started=True):
+async def launch(nodes=2, plan=None, is_started=True):
     """Yields a site, and ends it behind the body."""
     async with trio.open_nursery() as nursery:
         site = Site(nursery, nodes, plan)
