--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -415,7 +415,7 @@
     Break(
         "a text without end is given up",
         "batches/generation.py",
-        "if size > TEXT_BYTES_MOST or sample.is_overlong():",
+        "if size > MAX_TEXT_BYTES or sample.exceeds_token_limit():",
         "if False:",
         SITE + "test_endless",
     ),
@@ -429,8 +429,8 @@
     Break(
         "slow engines finish their texts",
         "batches/generation.py",
-        "usual_s * 2**sample.silences",
-        "usual_s",
+        "base_s * 2**sample.idle_timeouts",
+        "base_s",
         SITE + "test_slow",
     ),
     Break(
--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -337,7 +337,7 @@
         usable = [
             s for s in self.servers.of_service(self.service) if s.is_usable(now)
         ]
-        for choice in placement.choose_each(
+        for choice in placement.place_by_slack(
             waiting, usable, self.prompts, now, now_ms, self.generator.token_s
         ):
             choice.sample.stage = samples.Stage.GENERATING
@@ -362,7 +362,7 @@
         taken = len(waiting)
         event_s = self.generator.event_s
         least_s = event_s * min(
-            placement.finish_cost(s, now, False) for s in free
+            placement.completion_cost(s, now, False) for s in free
         )
         for sample in self.open_samples():
             if sample.stage is not samples.Stage.GENERATING:
@@ -370,8 +370,8 @@
             pace = migration.RunProgress(
                 sample.run_events,
                 len(sample.events),
-                sample.event_s(now),
-                sample.moves,
+                sample.seconds_per_event(now),
+                sample.migrations,
             )
             expected = sample.expected_tokens() / self.generator.event_tokens
             if not migration.should_migrate(pace, least_s, expected):
@@ -385,14 +385,14 @@
             room = sum(s.entry.slots - s.in_flight for s in others)
             if not others or here is None or room <= taken:
                 continue
-            best = min(placement.finish_cost(s, now, False) for s in others)
+            best = min(placement.completion_cost(s, now, False) for s in others)
             if migration.should_migrate(pace, best * event_s, expected):
-                sample.moves += 1
+                sample.migrations += 1
                 taken += 1
                 here.note_pace(pace.event_s / max(1e-6, event_s))
                 sample.run_scope.cancel()
 
-    def _note_prompt(self, choice: placement.Choice) -> None:
+    def _note_prompt(self, choice: placement.Assignment) -> None:
         if len(self.prompts) > TEXTS_KEPT:
             self.prompts.clear()
         group = choice.sample.item.group
@@ -405,7 +405,7 @@
             if is_waiting and age_s > sample.route.max_age_s:
                 self._fail(sample, "too old")
 
-    async def _run_guarded(self, choice: placement.Choice) -> None:
+    async def _run_guarded(self, choice: placement.Assignment) -> None:
         """Runs a sample; an unexpected error ends only this run."""
         try:
             await self._run_sample(choice)
@@ -419,7 +419,7 @@
             choice.sample.stage = samples.Stage.WAITING
             choice.sample.not_before = self.clock.monotonic() + ERROR_PAUSE_S
 
-    async def _run_sample(self, choice: placement.Choice) -> None:
+    async def _run_sample(self, choice: placement.Assignment) -> None:
         sample, server = choice.sample, choice.server
         is_whole = False
         with sample.scope:
--- a/src/kingcupscale/batches/generation.py
+++ b/src/kingcupscale/batches/generation.py
@@ -1,4 +1,4 @@
-"""One run of a sample on an engine, and what it teaches."""
+"""Runs samples on engines, one request at a time, and measures their speed."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Callable
@@ -15,47 +15,50 @@
 from kingcupscale.fleet import roster
 from kingcupscale.fleet import serverclient
 
-# Time that an engine gets for the connection and for the whole run.
-CONNECT_S = 0.3
-RUN_LIMIT_S = 30.0
-# An engine begins its answer with the first token; before that, a run waits
-# for a place and for weights that are being loaded.
+# Time limits of the connection and of the whole run.
+CONNECT_TIMEOUT_S = 0.3
+RUN_TIMEOUT_S = 30.0
+# Time limit of the response headers. An engine sends them with the first
+# token, which may have to wait for a slot and for weights that are loading.
 HEADER_TIMEOUT_S = 5.0
-# An engine that sends nothing for this long is given up for another one; one
-# that loads weights keeps its runs waiting meanwhile.
-SILENCE_S = 0.8
-LOADING_SILENCE_S = 3.0
-# A sample that met silence waits twice as long the next time, up to this, so
-# that engines which are slow but sound finish it.
-LONGEST_SILENCE_S = 10.0
-# A result has to fit into a value of the store with others beside it.
-TEXT_BYTES_MOST = 512 * 1024
-# Tokens of an event before any has been counted.
-EVENT_TOKENS = 30.0
-# Pause before an engine that turned a model's item away gets another one.
-TURNED_AWAY_S = 0.1
+# A run is ended if its engine sends nothing for this long. An engine that is
+# loading weights gets more time, because its runs wait meanwhile.
+IDLE_TIMEOUT_S = 0.8
+LOADING_IDLE_TIMEOUT_S = 3.0
+# The idle timeout of a sample doubles with each one that it has met, up to
+# this, so that engines which are slow but healthy can finish it.
+MAX_IDLE_TIMEOUT_S = 10.0
+# A value of the store has to hold a result together with other results.
+MAX_TEXT_BYTES = 512 * 1024
+# Tokens per event that are assumed until a run has been measured.
+DEFAULT_EVENT_TOKENS = 30.0
+# Pause before an engine that rejected an item of a model gets another one.
+REJECTED_PAUSE_S = 0.1
+# Pause before an item is sent again after a failed run.
 FAILED_PAUSE_S = 0.1
-# Pause before an item that was kept from leaving is looked at again.
-KEPT_BACK_PAUSE_S = 0.1
-# Weight of the newest run in the mean time of a token.
-TOKEN_WEIGHT = 0.1
-# Longer times of a token come from hints that were far off.
-LONGEST_TOKEN_S = 0.01
+# Pause before an item is sent again whose request the send guard blocked.
+BLOCKED_PAUSE_S = 0.1
+# Weight of the latest run in the moving averages of the speed.
+AVERAGE_WEIGHT = 0.1
+# Upper limit of a measured time per token. Higher values come from length
+# hints that were far too low.
+MAX_TOKEN_S = 0.01
 
 
 class Generator:
     """Runs samples on engines.
 
     Args:
-        client: Calls the engines.
-        clock: Tells the time.
+        client: Client for requests to engines.
+        clock: Clock for times.
         guard: Checks that requests may still be sent.
-        fail: Ends a sample that can't be done, for a reason.
+        on_failed: Called with a sample that can't be completed and the
+            reason.
 
     Attributes:
-        token_s: Mean time of a token, in seconds.
-        event_s: Mean time of an event, in seconds; 0 before the first.
-        event_tokens: Geometric mean of the expected tokens for an event.
+        token_s: Average seconds per token.
+        event_s: Average seconds per event; 0 until a run has been measured.
+        event_tokens: Geometric mean of the expected tokens per event.
     """
 
     def __init__(
@@ -63,60 +66,72 @@
         client: serverclient.ServerClient,
         clock: clocks.Clock,
         guard: sendguard.SendGuard,
-        fail: Callable[[samples.Sample, str], None],
+        on_failed: Callable[[samples.Sample, str], None],
     ) -> None:
         self.client = client
         self.clock = clock
         self.guard = guard
-        self.fail = fail
-        self.token_s = placement.TOKEN_S
+        self.on_failed = on_failed
+        self.token_s = placement.DEFAULT_TOKEN_S
         self.event_s = 0.0
-        self.event_tokens = EVENT_TOKENS
+        self.event_tokens = DEFAULT_EVENT_TOKENS
 
     async def run(self, sample: samples.Sample, server: roster.Server) -> bool:
-        """Runs a sample once; whether its text is whole."""
+        """Runs a sample once on an engine.
+
+        Returns:
+            Whether its text is complete.
+        """
         model = sample.record.batch.model
         version = server.versions.get(model, 0)
-        sample.keep_usable_text(version)
+        sample.discard_unusable_text(version)
         sample.begin_run()
-        began_at = self.clock.monotonic()
+        started_at = self.clock.monotonic()
         before = len(sample.events)
         call = self._make_call(sample, version)
-        outcome = "given up"
+        outcome = "cancelled before its end"
         view_age_s = self.guard.view.age_s()
         try:
             with sample.run_scope:
-                async with self._begun(server, call) as answer:
-                    outcome = await self._take_answer(sample, server, answer)
+                async with self._open_request(server, call) as answer:
+                    outcome = await self._read_answer(sample, server, answer)
             if sample.run_scope.cancelled_caught:
                 outcome = "moved"
         except serverclient.WithdrawnError as e:
-            outcome = f"kept back: {e.reason}"
-            self._postpone(sample, KEPT_BACK_PAUSE_S)
+            outcome = f"blocked by the send guard: {e.reason}"
+            self._postpone(sample, BLOCKED_PAUSE_S)
         except serverclient.ServerError as e:
-            outcome = f"broken: {e.reason}"
+            outcome = f"request failed: {e.reason}"
             server.note_failure(self.clock.monotonic())
             self._postpone(sample, FAILED_PAUSE_S)
         finally:
-            self._log_run(sample, server, outcome, began_at, before, view_age_s)
+            self._log_run(
+                sample, server, outcome, started_at, before, view_age_s
+            )
         if outcome != "whole":
             return False
         server.note_success()
-        self._learn(sample, server, began_at, before)
+        self._update_averages(sample, server, started_at, before)
         return True
 
     @contextlib.asynccontextmanager
-    async def _begun(
+    async def _open_request(
         self, server: roster.Server, call: serverclient.Call
     ) -> AsyncIterator[serverclient.Answer]:
-        """Sends a request whose answer has to begin in time."""
+        """Sends a request and waits for the response headers.
+
+        Raises:
+            ServerError: If they do not arrive within ``HEADER_TIMEOUT_S``.
+        """
         async with contextlib.AsyncExitStack() as stack:
             with trio.move_on_after(HEADER_TIMEOUT_S) as scope:
                 answer = await stack.enter_async_context(
-                    self.client.run(server, call, CONNECT_S)
+                    self.client.run(server, call, CONNECT_TIMEOUT_S)
                 )
             if scope.cancelled_caught:
-                raise serverclient.ServerError("no head in time", True)
+                raise serverclient.ServerError(
+                    "no response headers in time", True
+                )
             yield answer
 
     def _make_call(
@@ -130,7 +145,7 @@
             host=sample.record.batch.host,
             headers=sample.item.headers,
             body=sample.item.body,
-            time_left_s=RUN_LIMIT_S,
+            time_left_s=RUN_TIMEOUT_S,
             organisation=sample.record.batch.organisation or None,
             expected_version=version or None,
             resume_after=sample.resume_after(),
@@ -138,28 +153,28 @@
             check=functools.partial(self.guard.check, sample),
         )
 
-    async def _take_answer(
+    async def _read_answer(
         self,
         sample: samples.Sample,
         server: roster.Server,
         answer: serverclient.Answer,
     ) -> str:
-        """Reads an answer; returns "whole" or why the text is not."""
+        """Reads a response; returns "whole" or why the text is incomplete."""
         now = self.clock.monotonic()
         if answer.load is not None:
             server.note_load(answer.load, now)
         if answer.not_run:
-            await self._note_turned_away(sample, server, answer)
-            return f"turned away with {answer.status}"
+            await self._handle_rejection(sample, server, answer)
+            return f"rejected without running, status {answer.status}"
         if answer.status == 422:
-            self.fail(sample, "the server can never do it")
-            return "refused for good"
+            self.on_failed(sample, "rejected by the engine as unprocessable")
+            return "rejected as unprocessable"
         if not answer.is_success:
-            self._note_own_failure(sample, answer)
-            return f"failed with {answer.status}"
+            self._handle_failure(sample, answer)
+            return f"failed with status {answer.status}"
         return await self._read_events(sample, server, answer)
 
-    async def _note_turned_away(
+    async def _handle_rejection(
         self,
         sample: samples.Sample,
         server: roster.Server,
@@ -168,24 +183,25 @@
         now = self.clock.monotonic()
         model = sample.record.batch.model
         if not answer.wrong_server:
-            server.closed[model] = now + TURNED_AWAY_S
+            server.closed[model] = now + REJECTED_PAUSE_S
         elif answer.version:
             server.versions[model] = answer.version
         else:
-            # Its address may have gone to another server, or it has other
-            # weights than this node was told; the report shows which.
+            # The address may belong to another server by now, or the engine
+            # may have other weights than this node knows. Its report tells
+            # which of the two it is.
             server.note_failure(now)
             report = await self.client.report(server)
             server.versions.update(report.versions)
 
-    def _note_own_failure(
+    def _handle_failure(
         self, sample: samples.Sample, answer: serverclient.Answer
     ) -> None:
         self._postpone(sample, FAILED_PAUSE_S)
         if answer.status == 500 and answer.signature:
             sample.failures += 1
             if sample.failures >= sample.route.max_attempts:
-                self.fail(sample, "failed at every run")
+                self.on_failed(sample, "failed at every attempt")
 
     async def _read_events(
         self,
@@ -198,60 +214,66 @@
         async with contextlib.aclosing(stream):
             while True:
                 event = None
-                silence_s = self._silence_s(sample, server)
-                with trio.move_on_after(silence_s) as scope:
+                timeout_s = self._idle_timeout_s(sample, server)
+                with trio.move_on_after(timeout_s) as scope:
                     event = await anext(stream, None)
                 if scope.cancelled_caught:
-                    sample.silences += 1
-                    raise serverclient.ServerError("silent in a stream", True)
+                    sample.idle_timeouts += 1
+                    raise serverclient.ServerError(
+                        "no event within the idle timeout", True
+                    )
                 if event is None:
                     return "whole"
-                if not sample.add(event, self.clock.monotonic()):
+                if not sample.append(event, self.clock.monotonic()):
                     raise serverclient.ServerError(
-                        f"event {event.number} after {len(sample.events)}",
+                        f"got event {event.number} after event"
+                        f" {len(sample.events)}",
                         True,
                     )
                 size += len(event.data)
-                if size > TEXT_BYTES_MOST or sample.is_overlong():
+                if size > MAX_TEXT_BYTES or sample.exceeds_token_limit():
                     sample.events.clear()
-                    raise serverclient.ServerError("text without end", True)
+                    raise serverclient.ServerError(
+                        "text exceeds the size or token limit", True
+                    )
 
-    def _silence_s(
+    def _idle_timeout_s(
         self, sample: samples.Sample, server: roster.Server
     ) -> float:
         is_loading = server.loading_until > self.clock.monotonic()
-        usual_s = LOADING_SILENCE_S if is_loading else SILENCE_S
-        return min(LONGEST_SILENCE_S, usual_s * 2**sample.silences)
+        base_s = LOADING_IDLE_TIMEOUT_S if is_loading else IDLE_TIMEOUT_S
+        return min(MAX_IDLE_TIMEOUT_S, base_s * 2**sample.idle_timeouts)
 
     def _postpone(self, sample: samples.Sample, seconds: float) -> None:
         sample.not_before = self.clock.monotonic() + seconds
 
-    def _learn(
+    def _update_averages(
         self,
         sample: samples.Sample,
         server: roster.Server,
-        began_at: float,
+        started_at: float,
         before: int,
     ) -> None:
-        made = len(sample.events) - before
-        if not made:
+        """Updates the averages and the engine's speed after a complete run."""
+        generated = len(sample.events) - before
+        if not generated:
             return
-        elapsed_s = self.clock.monotonic() - began_at
+        elapsed_s = self.clock.monotonic() - started_at
         if before == 0 and sample.item.length_hint:
             ratio = sample.item.length_hint / len(sample.events)
-            self.event_tokens *= (ratio / self.event_tokens) ** TOKEN_WEIGHT
-            token_s = min(LONGEST_TOKEN_S, elapsed_s / sample.item.length_hint)
-            self.token_s += TOKEN_WEIGHT * (token_s - self.token_s)
-        self.event_s = self.event_s or elapsed_s / made
-        self.event_s += TOKEN_WEIGHT * (elapsed_s / made - self.event_s)
-        server.note_pace(elapsed_s / made / max(1e-6, self.event_s))
+            self.event_tokens *= (ratio / self.event_tokens) ** AVERAGE_WEIGHT
+            token_s = min(MAX_TOKEN_S, elapsed_s / sample.item.length_hint)
+            self.token_s += AVERAGE_WEIGHT * (token_s - self.token_s)
+        self.event_s = self.event_s or elapsed_s / generated
+        self.event_s += AVERAGE_WEIGHT * (elapsed_s / generated - self.event_s)
+        server.note_pace(elapsed_s / generated / max(1e-6, self.event_s))
 
     def _log_run(
         self,
         sample: samples.Sample,
         server: roster.Server,
         outcome: str,
-        began_at: float,
+        started_at: float,
         before: int,
         view_age_s: float,
     ) -> None:
@@ -263,8 +285,8 @@
             server=server.id,
             version=server.versions.get(sample.record.batch.model, 0),
             outcome=outcome,
-            waited_s=round(began_at - sample.waiting_since, 3),
-            took_s=round(now - began_at, 3),
+            waited_s=round(started_at - sample.waiting_since, 3),
+            took_s=round(now - started_at, 3),
             events=[before, len(sample.events)],
             expected_tokens=sample.expected_tokens(),
             in_flight=server.in_flight,
--- a/src/kingcupscale/batches/migration.py
+++ b/src/kingcupscale/batches/migration.py
@@ -1,68 +1,70 @@
-"""When a running sample goes on at another engine.
+"""Decides when a running sample migrates to another engine.
 
-Answers engines that turn slow or dark under a sample that a whole step waits
-for: a text is cheap to read in again, so it goes on elsewhere as soon as that
-saves more than the reading costs.
+An engine may become slow or stop sending while a whole step waits for one of
+its samples. Another engine can resume the text after a cheap prefill, so the
+sample migrates as soon as this saves more time than it costs.
 """
 
 import attrs
 
-# What a move costs: a connection, and reading the text in again, in seconds.
-MOVE_COST_S = 0.25
-# An engine must be this many times slower than another to be left.
-SLOWER = 1.5
-# Events of a run before its pace is believed, and moves of one sample.
-EVENTS_LEAST = 4
-MOVES_MOST = 4
-# A sample with no known length is taken to go on for this share of what there
-# is of it, and at least for so many events.
-REST_SHARE = 0.3
-REST_LEAST = 8
+# Seconds that a migration costs: a connection, and a prefill of the text.
+MIGRATION_COST_S = 0.25
+# A sample leaves an engine only if that engine is this many times slower than
+# the other one.
+MIN_SLOWDOWN = 1.5
+# Events that a run needs before its speed is used, and the most migrations of
+# one sample.
+MIN_RUN_EVENTS = 4
+MAX_MIGRATIONS = 4
+# A text is assumed to continue for at least this share of its present length,
+# and for at least this many events.
+REMAINING_SHARE = 0.3
+MIN_REMAINING_EVENTS = 8
 
 
 @attrs.frozen
 class RunProgress:
-    """How a run goes.
+    """Progress and speed of a sample's current run.
 
     Attributes:
-        events: Events that this run has made.
-        text_events: Events of the text, with those of earlier runs.
-        event_s: Seconds that an event takes here, of late.
-        moves: How often the sample has moved.
+        events: Number of events that this run has received.
+        text_events: Number of events of the text, including earlier runs.
+        event_s: Recent seconds per event on this engine; 0 if unknown.
+        migrations: How often the sample has migrated.
     """
 
     events: int
     text_events: int
     event_s: float
-    moves: int
+    migrations: int
 
 
-def rest_events(text_events: int, expected_events: float) -> float:
-    """Returns how many events are probably still to come.
+def remaining_events(text_events: int, expected_events: float) -> float:
+    """Returns how many more events the text will probably have.
 
-    The expected number is right at the median only: a text that has passed it
-    goes on, the longer it is already the longer.
+    The expected number is only a median: a text that is longer than expected
+    continues, and the longer it is, the longer it will probably continue.
     """
-    least = max(REST_LEAST, REST_SHARE * text_events)
-    return max(least, expected_events - text_events)
+    minimum = max(MIN_REMAINING_EVENTS, REMAINING_SHARE * text_events)
+    return max(minimum, expected_events - text_events)
 
 
 def should_migrate(
     run: RunProgress, other_event_s: float, expected_events: float
 ) -> bool:
-    """Tells whether a sample ends sooner on another engine.
+    """Tells whether a sample would finish sooner on another engine.
 
     Args:
-        run: How it goes where it is.
-        other_event_s: Seconds that an event would take on the other engine; 0
-            before any run has told.
-        expected_events: Events that the whole text is expected to have.
+        run: The run on the present engine.
+        other_event_s: Expected seconds per event on the other engine; 0 if no
+            run has been measured yet.
+        expected_events: Expected number of events of the whole text.
     """
-    if run.events < EVENTS_LEAST or run.moves >= MOVES_MOST:
+    if run.events < MIN_RUN_EVENTS or run.migrations >= MAX_MIGRATIONS:
         return False
     if other_event_s <= 0:
         return False
-    if run.event_s < SLOWER * other_event_s:
+    if run.event_s < MIN_SLOWDOWN * other_event_s:
         return False
-    rest = rest_events(run.text_events, expected_events)
-    return rest * (run.event_s - other_event_s) > MOVE_COST_S
+    remaining = remaining_events(run.text_events, expected_events)
+    return remaining * (run.event_s - other_event_s) > MIGRATION_COST_S
--- a/src/kingcupscale/batches/placement.py
+++ b/src/kingcupscale/batches/placement.py
@@ -1,9 +1,10 @@
-"""Which waiting sample runs next, and on which engine.
+"""Placement of waiting samples on engines.
 
-Answers batches that come at once from several trainers: a step is worth its
-whole groups, so its longest samples decide, and they decide by the engine
-they get. The sample that must begin first goes first, to the engine on which
-it ends first.
+Decides which sample runs next and on which engine. When several trainers
+submit batches at once, a step is useful only once its groups are complete, so
+its longest samples set its duration, and their duration depends on the engine
+they get. The sample with the least slack is therefore placed first, on the
+engine that is expected to finish it first.
 """
 
 from collections.abc import Iterable
@@ -14,78 +15,92 @@
 from kingcupscale.batches import sample
 from kingcupscale.fleet import roster
 
-# Time that a token takes before any has been measured, in seconds.
-TOKEN_S = 0.001
-# How much longer a token takes for each further request on the engine.
-SLOWDOWN = 0.035
-# Advantage of an engine that has read the group's prompt, in slots.
-SHARED_PROMPT_BONUS = 0.4
-# A lower priority of the route weighs as this much slack, in seconds.
-PRIORITY_S = 0.3
+# Seconds per token that are assumed until a run has been measured.
+DEFAULT_TOKEN_S = 0.001
+# Relative increase of the time per token for each other request on the engine.
+SLOWDOWN_PER_REQUEST = 0.035
+# Advantage of an engine whose prefix cache holds the group's prompt, expressed
+# as a number of other requests.
+CACHED_PROMPT_BONUS = 0.4
+# Seconds of slack added for each step that the route's priority is lower.
+SLACK_PER_PRIORITY_S = 0.3
 
 
 @attrs.frozen
-class Choice:
-    """A sample and the engine it goes to."""
+class Assignment:
+    """A sample and the engine it is assigned to."""
 
     sample: sample.Sample
     server: roster.Server
 
 
 def slack_s(waiting: sample.Sample, now_ms: int, token_s: float) -> float:
-    """Returns how long a sample may still wait, in seconds.
+    """Returns how long a sample can wait and still meet its due time.
 
     Args:
         waiting: The sample.
-        now_ms: Milliseconds since 1970.
-        token_s: Seconds that a token takes.
+        now_ms: Unix time in milliseconds.
+        token_s: Expected seconds per token.
     """
     age_s = (now_ms - waiting.record.submitted_ms) / 1000
     done = len(waiting.events)
     expected_s = waiting.expected_tokens() * token_s if not done else 0.0
-    rank_s = waiting.route.priority * PRIORITY_S
-    return waiting.route.due_s - age_s - expected_s + rank_s
+    priority_s = waiting.route.priority * SLACK_PER_PRIORITY_S
+    return waiting.route.due_s - age_s - expected_s + priority_s
 
 
 def can_run(waiting: sample.Sample, server: roster.Server, now: float) -> bool:
-    """Tells whether an engine's weights will do for a sample, and are there."""
+    """Tells whether an engine has a weight version that a sample accepts.
+
+    An engine that is loading weights for the sample's model can't run it.
+    """
     batch = waiting.record.batch
     version = server.versions.get(batch.model, 0)
     is_open = server.closed.get(batch.model, 0.0) <= now
     return is_open and version >= batch.minimum_version
 
 
-def finish_cost(server: roster.Server, now: float, has_prompt: bool) -> float:
-    """Returns how late a sample ends on an engine, relative to others."""
+def completion_cost(
+    server: roster.Server, now: float, has_prompt: bool
+) -> float:
+    """Returns a relative estimate of when an engine would finish a sample.
+
+    Args:
+        server: The engine.
+        now: Monotonic time.
+        has_prompt: Whether its prefix cache holds the group's prompt.
+    """
     others = server.load(now)
-    cost = server.pace * (1 + SLOWDOWN * others)
+    cost = server.pace * (1 + SLOWDOWN_PER_REQUEST * others)
     queue = max(0.0, others + 1 - server.entry.slots)
     cost += queue / max(1, server.entry.slots)
     if has_prompt:
-        cost -= SHARED_PROMPT_BONUS * SLOWDOWN
+        cost -= CACHED_PROMPT_BONUS * SLOWDOWN_PER_REQUEST
     return cost
 
 
-def choose_each(
+def place_by_slack(
     waiting: Iterable[sample.Sample],
     servers: list[roster.Server],
-    prompts: dict[str, set[str]],
+    prompt_holders: dict[str, set[str]],
     now: float,
     now_ms: int,
     token_s: float,
-) -> Iterator[Choice]:
-    """Yields which samples to send and where, the next one first.
+) -> Iterator[Assignment]:
+    """Yields assignments in the order of the samples' slack.
 
-    Whoever takes a choice notes it at the server before asking for the next
-    one. The samples are ordered once, as a batch brings hundreds at a time.
+    The caller must add each assignment to the server's requests in flight
+    before it asks for the next one. The samples are sorted only once, because
+    a batch adds hundreds of them at a time.
 
     Args:
-        waiting: Samples that wait.
-        servers: Engines that take work.
-        prompts: Engines, by id, that have read a group's prompt, by group.
+        waiting: Samples that wait for an engine.
+        servers: Engines that accept work.
+        prompt_holders: Ids of the engines whose prefix cache holds a group's
+            prompt, by group.
         now: Monotonic time.
-        now_ms: Milliseconds since 1970.
-        token_s: Seconds that a token takes.
+        now_ms: Unix time in milliseconds.
+        token_s: Expected seconds per token.
     """
     free = [s for s in servers if s.load(now) < s.entry.slots]
     if not free:
@@ -96,27 +111,30 @@
         able = [s for s in free if can_run(candidate, s, now)]
         if not able:
             continue
-        known = prompts.get(candidate.item.group, set())
+        holders = prompt_holders.get(candidate.item.group, set())
         server = min(
-            able, key=lambda s: (finish_cost(s, now, s.id in known), s.id)
+            able, key=lambda s: (completion_cost(s, now, s.id in holders), s.id)
         )
-        yield Choice(candidate, server)
+        yield Assignment(candidate, server)
         if server.load(now) >= server.entry.slots:
             free.remove(server)
             if not free:
                 return
 
 
-def choose_first(
+def place_first(
     waiting: Iterable[sample.Sample],
     servers: list[roster.Server],
     now: float,
-) -> Choice | None:
-    """Returns any choice at all; the baseline of ``choose_each``."""
+) -> Assignment | None:
+    """Returns the first possible assignment.
+
+    It is the baseline that tests compare ``place_by_slack`` with.
+    """
     for candidate in waiting:
         for server in servers:
             has_room = server.in_flight < server.entry.slots
             is_due = candidate.not_before <= now
             if is_due and has_room and can_run(candidate, server, now):
-                return Choice(candidate, server)
+                return Assignment(candidate, server)
     return None
--- a/src/kingcupscale/batches/sample.py
+++ b/src/kingcupscale/batches/sample.py
@@ -1,4 +1,4 @@
-"""One item on its way to a result."""
+"""Progress of one item of a batch, from the queue to its result."""
 
 import collections
 import enum
@@ -11,14 +11,14 @@
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import serverclient
 
-# An item whose length nobody knows is taken for one of this many tokens.
-USUAL_TOKENS = 400
-# Events over which the pace of a run is measured.
-PACE_EVENTS = 6
+# Expected number of tokens of an item without a length hint.
+DEFAULT_EXPECTED_TOKENS = 400
+# Number of latest events over which the speed of a run is measured.
+SPEED_WINDOW_EVENTS = 6
 
 
 class Stage(enum.Enum):
-    """How far an item is."""
+    """Stage of an item's processing."""
 
     WAITING = "waiting"
     GENERATING = "generating"
@@ -28,26 +28,28 @@
 
 @attrs.define(eq=False)
 class Sample:
-    """What one node knows of an item's progress.
+    """Progress of an item, as far as this node knows it.
 
     Attributes:
         item: The item.
-        record: Its batch.
+        record: Record of its batch.
         route: The batch's route.
-        stage: How far it is.
+        stage: Stage of its processing.
         events: Events of its text so far.
-        failures: Runs that ended with the server's own failure.
-        score_failures: Scoring calls that ended so.
+        failures: Number of runs that the engine itself reported as failed.
+        score_failures: Number of scoring calls that were answered without a
+            score.
         not_before: Monotonic time before which it is not sent again.
-        result: Its result, once there is one.
-        server: Where it runs.
-        waiting_since: Monotonic time since which it waits.
-        scope: Ends all work on it.
-        run_scope: Ends its present run only.
-        moves: How often it has left an engine for another one.
-        event_times: Monotonic times of the latest events of its run.
-        run_events: Events that its present run has made.
-        silences: Runs that ended because an engine sent nothing for long.
+        result: Its result; None until it is finished.
+        server: Id of the engine of its latest run.
+        waiting_since: Monotonic time since which it has been waiting.
+        scope: Cancels all work on it.
+        run_scope: Cancels only its current run.
+        migrations: How often it has migrated to another engine.
+        event_times: Monotonic times of the latest events of its current run.
+        run_events: Number of events of its current run.
+        idle_timeouts: Number of runs that ended because the engine sent
+            nothing for too long.
     """
 
     item: batch.Item
@@ -63,35 +65,39 @@
     waiting_since: float = 0.0
     scope: trio.CancelScope = attrs.field(factory=trio.CancelScope)
     run_scope: trio.CancelScope = attrs.field(factory=trio.CancelScope)
-    moves: int = 0
+    migrations: int = 0
     event_times: collections.deque[float] = attrs.field(
-        factory=lambda: collections.deque(maxlen=PACE_EVENTS)
+        factory=lambda: collections.deque(maxlen=SPEED_WINDOW_EVENTS)
     )
     run_events: int = 0
-    silences: int = 0
+    idle_timeouts: int = 0
 
     @property
     def id(self) -> str:
-        """The item's identity."""
+        """The item's id."""
         return self.item.id
 
     def versions(self) -> set[int]:
-        """Returns the weight versions that made its text so far."""
+        """Returns the weight versions that generated its text so far."""
         return {event.version for event in self.events}
 
     def expected_tokens(self) -> int:
-        """Returns how many tokens it may take."""
-        return self.item.length_hint or USUAL_TOKENS
+        """Returns the expected number of tokens of its text."""
+        return self.item.length_hint or DEFAULT_EXPECTED_TOKENS
 
     def resume_after(self) -> int | None:
-        """Returns the number of the last event of its text, if any."""
+        """Returns the number of its last event; None without events."""
         return self.events[-1].number if self.events else None
 
-    def keep_usable_text(self, version: int) -> None:
-        """Drops text that may not be followed by events of a version.
+    def discard_unusable_text(self, version: int) -> None:
+        """Discards the text if a version may not continue it.
+
+        This is so if part of the text is older than the batch's minimum
+        version, or if the route allows a single version only and the text
+        has another one.
 
         Args:
-            version: Weight version under which it would go on.
+            version: Weight version of the next run.
         """
         versions = self.versions()
         is_old = any(v < self.record.batch.minimum_version for v in versions)
@@ -100,13 +106,21 @@
             self.events.clear()
 
     def begin_run(self) -> None:
-        """Forgets the pace of the run before."""
+        """Resets what belongs to the previous run."""
         self.event_times.clear()
         self.run_events = 0
         self.run_scope = trio.CancelScope()
 
-    def add(self, event: serverclient.StreamEvent, now: float) -> bool:
-        """Adds the next event; False if it is not the next one."""
+    def append(self, event: serverclient.StreamEvent, now: float) -> bool:
+        """Appends an event.
+
+        Args:
+            event: The event.
+            now: Monotonic time.
+
+        Returns:
+            Whether it was appended; False if its number is not the next one.
+        """
         if event.number != len(self.events) + 1:
             return False
         self.events.append(event)
@@ -114,15 +128,18 @@
         self.run_events += 1
         return True
 
-    def is_overlong(self) -> bool:
-        """Tells whether its text has more events than it may have tokens."""
+    def exceeds_token_limit(self) -> bool:
+        """Tells whether its text has more events than allowed tokens.
+
+        Each event holds at least one token.
+        """
         return 0 < self.item.tokens < len(self.events)
 
-    def event_s(self, now: float) -> float:
-        """Returns seconds that an event takes of late; 0 if unknown.
+    def seconds_per_event(self, now: float) -> float:
+        """Returns the recent seconds per event of its run; 0 if unknown.
 
         Args:
-            now: Monotonic time; a pause that goes on counts as well.
+            now: Monotonic time; the time since the last event counts too.
         """
         gaps = len(self.event_times) - 1
         if gaps < 1:
@@ -131,7 +148,7 @@
         return max((last - first) / gaps, (now - first) / (gaps + 1))
 
     def finish(self, score: str) -> None:
-        """Makes the result of a scored text."""
+        """Sets the result of a scored text."""
         self.result = batch.Result(
             self.id,
             batch.ResultState.DONE,
@@ -142,6 +159,6 @@
         self.stage = Stage.FINISHED
 
     def fail(self) -> None:
-        """Makes the result of an item that can't be done."""
+        """Sets the result of an item that can't be completed."""
         self.result = batch.Result(self.id, batch.ResultState.FAILED)
         self.stage = Stage.FINISHED
--- a/src/kingcupscale/batches/scoring.py
+++ b/src/kingcupscale/batches/scoring.py
@@ -1,4 +1,4 @@
-"""Scoring finished texts."""
+"""Sends the scoring calls of finished texts."""
 
 from collections.abc import Callable
 import functools
@@ -14,46 +14,46 @@
 from kingcupscale.gateway import forwarder
 from kingcupscale.gateway import inbound as inbounds
 
-# Longest that one scoring call may wait for room and for answers; each answer
-# has its route's own limit, which is shorter.
-CALL_LIMIT_S = 30.0
-# Pause before a scoring call that failed is sent again.
-SCORE_PAUSE_S = 0.1
+# Time limit of one scoring call, including the time in the queue and retries.
+# Each attempt also has the time limit of its route, which is shorter.
+CALL_TIMEOUT_S = 30.0
+# Pause before a failed scoring call is repeated.
+RETRY_PAUSE_S = 0.1
 
 
 class Scorer:
-    """Scores texts through the routes of their scoring calls.
+    """Scores texts by forwarding their scoring calls.
 
     Args:
-        forward: Passes calls on.
-        clock: Tells the time.
-        catalogue_now: Returns the configuration in force.
+        call_forwarder: Forwards calls to backend servers.
+        clock: Clock for times and pauses.
+        current_catalogue: Returns the configuration in force.
         guard: Checks that requests may still be sent.
-        finish: Takes a sample's score.
-        fail: Ends a sample that can't be scored, for a reason.
+        on_scored: Called with a sample and its score.
+        on_failed: Called with a sample that can't be scored and the reason.
     """
 
     def __init__(
         self,
-        forward: forwarder.Forwarder,
+        call_forwarder: forwarder.Forwarder,
         clock: clocks.Clock,
-        catalogue_now: Callable[[], catalogue.Catalogue | None],
+        current_catalogue: Callable[[], catalogue.Catalogue | None],
         guard: sendguard.SendGuard,
-        finish: Callable[[samples.Sample, str], None],
-        fail: Callable[[samples.Sample, str], None],
+        on_scored: Callable[[samples.Sample, str], None],
+        on_failed: Callable[[samples.Sample, str], None],
     ) -> None:
-        self.forwarder = forward
+        self.forwarder = call_forwarder
         self.clock = clock
-        self.catalogue_now = catalogue_now
+        self.current_catalogue = current_catalogue
         self.guard = guard
-        self.finish = finish
-        self.fail = fail
+        self.on_scored = on_scored
+        self.on_failed = on_failed
 
     async def score(self, sample: samples.Sample) -> None:
-        """Calls for a sample's score until it has one or can't have one."""
+        """Sends a sample's scoring call until it is scored or has failed."""
         scorer = sample.item.scorer
         if scorer is None:
-            self.finish(sample, "")
+            self.on_scored(sample, "")
             return
         while sample.result is None:
             try:
@@ -63,7 +63,7 @@
                 )
                 score = answer.signature if answer.status < 300 else ""
             except serverclient.WithdrawnError:
-                await self.clock.sleep(SCORE_PAUSE_S)
+                await self.clock.sleep(RETRY_PAUSE_S)
                 continue
             except errors.ServiceError as e:
                 events.log(
@@ -72,15 +72,17 @@
                     request=scorer.id,
                     reason=str(e),
                 )
-                await self.clock.sleep(SCORE_PAUSE_S)
+                await self.clock.sleep(RETRY_PAUSE_S)
                 continue
             if score:
-                self.finish(sample, score)
+                self.on_scored(sample, score)
             else:
-                self._note_score_failure(sample, answer.status)
-                await self.clock.sleep(SCORE_PAUSE_S)
+                self._record_score_failure(sample, answer.status)
+                await self.clock.sleep(RETRY_PAUSE_S)
 
-    def _note_score_failure(self, sample: samples.Sample, status: int) -> None:
+    def _record_score_failure(
+        self, sample: samples.Sample, status: int
+    ) -> None:
         sample.score_failures += 1
         events.log(
             events.Event.SCORING_FAILED,
@@ -90,12 +92,12 @@
             failures=sample.score_failures,
         )
         scorer = sample.item.scorer
-        configured = self.catalogue_now()
+        configured = self.current_catalogue()
         if scorer is None or configured is None:
             return
         route = configured.find_route(scorer.host, scorer.path)
         if route and sample.score_failures >= route.max_attempts:
-            self.fail(sample, "its scoring call failed at every run")
+            self.on_failed(sample, "scoring call failed at every attempt")
 
     def _score_call(
         self, sample: samples.Sample, scorer: batches.Scorer
@@ -109,7 +111,7 @@
             headers={},
             body=scorer.body,
             key="",
-            patience_s=CALL_LIMIT_S,
+            patience_s=CALL_TIMEOUT_S,
             received_at=self.clock.monotonic(),
             is_background=True,
             check=functools.partial(self.guard.check, sample),
--- a/src/kingcupscale/batches/sendguard.py
+++ b/src/kingcupscale/batches/sendguard.py
@@ -1,4 +1,4 @@
-"""Whether a batch's requests may leave this node right now."""
+"""Checks that a batch's request may be sent, right before it is sent."""
 
 from kingcupscale.batches import sample as samples
 from kingcupscale.fleet import serverclient
@@ -6,26 +6,29 @@
 
 
 class SendGuard:
-    """Lets a batch's requests leave while it is surely open.
+    """Blocks requests of batches that have ended or may have ended.
 
     Args:
-        view: Tells whether the node would know of the batch's end.
+        view: Tells whether this node's view of the store is recent enough to
+            include the batch's end.
     """
 
     def __init__(self, view: views.View) -> None:
         self.view = view
 
     def check(self, sample: samples.Sample) -> None:
-        """Lets a request of a batch's item leave.
+        """Checks that a request of a sample may be sent.
 
-        To be called when the request's connection is open: until then, the
-        batch may end or the view may grow old.
+        Must be called once the request's connection is open, because the
+        batch may end or the view may become too old while it is opened.
 
         Raises:
             WithdrawnError: If the batch has ended, or may have ended without
                 this node knowing.
         """
         if not sample.record.is_open():
-            raise serverclient.WithdrawnError("the batch is not open any more")
+            raise serverclient.WithdrawnError("the batch has ended")
         if not self.view.is_current():
-            raise serverclient.WithdrawnError("the view of the store is old")
+            raise serverclient.WithdrawnError(
+                "the view of the store is too old"
+            )
--- a/src/kingcupscale/batches/weights.py
+++ b/src/kingcupscale/batches/weights.py
@@ -1,10 +1,10 @@
-"""Which engines hold which model, and which weight version they load when.
+"""Assigns engines to models and schedules the loading of weight versions.
 
-Answers trainers that name a version every few seconds while the previous one
-may still be used, on engines of which only a few can load at a time. Each
-model has some of the engines; half of these take the even and half the odd
-versions, so that an engine loads every other version and the rest serve
-meanwhile.
+Trainers publish a version every few seconds, the previous version may still
+be used, and only a few engines can load at the same time. Each model is
+therefore assigned some of the engines. Half of them load the even and half
+the odd versions, so that an engine loads every other version while the other
+engines serve.
 """
 
 from collections.abc import Iterable
@@ -13,18 +13,20 @@
 
 from kingcupscale.fleet import roster
 
-# Engines of a model, as a multiple of its even share of all engines. More
-# would take samples elsewhere when engines are lost, but load more often.
-SPREAD = 1.5
-ENGINES_LEAST = 2
-# Share of the engines that may load at the same time; loads slow each other.
-LOADING_SHARE = 0.42
-LOADING_LEAST = 2
+# Engines of a model, as a multiple of an even share of all engines. With more,
+# a model would have more engines left after a loss, but each engine would load
+# more often.
+ENGINES_PER_SHARE = 1.5
+MIN_ENGINES = 2
+# Share of the engines that may load at the same time. Concurrent loads slow
+# each other down.
+MAX_LOADING_SHARE = 0.42
+MIN_CONCURRENT_LOADS = 2
 
 
 @attrs.frozen
 class Load:
-    """An engine that is to load a version of a model."""
+    """A version of a model that an engine has to load."""
 
     server: roster.Server
     model: str
@@ -32,46 +34,47 @@
 
 
 def engines_for_model(engines: int, models: int) -> int:
-    """Returns how many engines a model has."""
-    share = -(-int(SPREAD * 100) * engines // (100 * max(1, models)))
-    return min(engines, max(ENGINES_LEAST, share))
+    """Returns how many engines are assigned to each model."""
+    share = -(-int(ENGINES_PER_SHARE * 100) * engines // (100 * max(1, models)))
+    return min(engines, max(MIN_ENGINES, share))
 
 
 def assign(
     servers: list[roster.Server],
-    named: dict[str, int],
-    present: dict[str, set[str]],
+    targets: dict[str, int],
+    current: dict[str, set[str]],
 ) -> dict[str, set[str]]:
-    """Returns the engines of each model, by id, with few moves.
+    """Returns the ids of the engines of each model.
 
-    A node that takes the duty over knows no present engines; those whose
-    weights are of use are taken first, so that little is loaded anew.
+    Changes as few assignments as possible. A node that has just taken over
+    the duty has no current assignment. It prefers engines whose weights are
+    recent enough, so that few engines have to load.
 
     Args:
-        servers: Engines that take work.
-        named: Newest version by model.
-        present: The engines of each model so far.
+        servers: Engines that accept work.
+        targets: Newest version by model.
+        current: The engines assigned to each model so far.
     """
-    number = engines_for_model(len(servers), len(named))
+    number = engines_for_model(len(servers), len(targets))
     by_id = {server.id: server for server in servers}
     assigned = {
-        model: present.get(model, set()) & by_id.keys() for model in named
+        model: current.get(model, set()) & by_id.keys() for model in targets
     }
 
-    def models_of(server_id: str) -> int:
+    def count_models(server_id: str) -> int:
         return sum(server_id in ids for ids in assigned.values())
 
-    for model in sorted(named, key=lambda m: (len(assigned[m]), m)):
+    for model in sorted(targets, key=lambda m: (len(assigned[m]), m)):
         ids = assigned[model]
         while len(ids) > number:
-            ids.remove(max(ids, key=lambda i: (models_of(i), i)))
+            ids.remove(max(ids, key=lambda i: (count_models(i), i)))
         while len(ids) < number:
-            others = [s for s in servers if s.id not in ids]
+            candidates = [s for s in servers if s.id not in ids]
             best = min(
-                others,
+                candidates,
                 key=lambda s: (
-                    s.versions.get(model, 0) < named[model] - 1,
-                    models_of(s.id),
+                    s.versions.get(model, 0) < targets[model] - 1,
+                    count_models(s.id),
                     s.id,
                 ),
             )
@@ -81,7 +84,7 @@
 
 def choose_loads(
     servers: list[roster.Server],
-    named: dict[str, int],
+    targets: dict[str, int],
     assigned: dict[str, set[str]],
     allowed_lag: int,
     loading: set[str],
@@ -89,16 +92,16 @@
     """Returns the loads to order now.
 
     Args:
-        servers: Engines that take work.
-        named: Newest version by model.
-        assigned: Engines of each model, by id.
-        allowed_lag: How many versions behind the newest are of use.
-        loading: Engines, by id, that are loading.
+        servers: Engines that accept work.
+        targets: Newest version by model.
+        assigned: Ids of the engines assigned to each model.
+        allowed_lag: How many versions behind the newest may still be used.
+        loading: Ids of the engines that are loading.
     """
-    room = max(LOADING_LEAST, int(len(servers) * LOADING_SHARE))
+    room = max(MIN_CONCURRENT_LOADS, int(len(servers) * MAX_LOADING_SHARE))
     room -= len(loading)
-    wanted: list[tuple[int, int, Load]] = []
-    for model, newest in sorted(named.items()):
+    due: list[tuple[int, int, Load]] = []
+    for model, newest in sorted(targets.items()):
         holders = [
             server
             for server in servers
@@ -106,16 +109,16 @@
         ]
         oldest = newest - allowed_lag
         useful = sum(s.versions[model] >= oldest for s in holders)
-        due = _engines_to_load(holders, model, newest, allowed_lag)
-        wanted += [
-            (useful + place, place, Load(server, model, newest))
-            for place, server in enumerate(due)
+        engines = _engines_to_load(holders, model, newest, allowed_lag)
+        due += [
+            (useful + position, position, Load(server, model, newest))
+            for position, server in enumerate(engines)
         ]
-    # A model that few engines can serve goes first.
-    wanted.sort(key=lambda entry: (entry[0], entry[1], entry[2].model))
+    # Models with the fewest engines that can serve them come first.
+    due.sort(key=lambda entry: (entry[0], entry[1], entry[2].model))
     loads: list[Load] = []
     busy = set(loading)
-    for _, _, load in wanted:
+    for _, _, load in due:
         if len(loads) < room and load.server.id not in busy:
             busy.add(load.server.id)
             loads.append(load)
@@ -125,27 +128,31 @@
 def _engines_to_load(
     holders: list[roster.Server], model: str, newest: int, allowed_lag: int
 ) -> list[roster.Server]:
-    """Returns engines that need the newest version, the most behind first."""
+    """Returns the engines to load the newest version, the oldest first."""
     oldest = newest - allowed_lag
-    order = sorted(
+    by_version = sorted(
         holders, key=lambda s: (s.versions[model], s.in_flight, s.id)
     )
-    behind = [s for s in order if s.versions[model] < oldest]
-    lagging = [s for s in order if oldest <= s.versions[model] < newest]
-    current = len(holders) - len(behind) - len(lagging)
-    # Half of the engines should be ready for the version after this one.
-    missing = -(-len(holders) // 2) - len(behind) - current
-    return behind + lagging[: max(0, missing)]
+    outdated = [s for s in by_version if s.versions[model] < oldest]
+    lagging = [s for s in by_version if oldest <= s.versions[model] < newest]
+    current = len(holders) - len(outdated) - len(lagging)
+    # At least half of the engines should hold this version: it may still be
+    # used after the next version is published.
+    missing = -(-len(holders) // 2) - len(outdated) - current
+    return outdated + lagging[: max(0, missing)]
 
 
 def choose_all(
-    servers: Iterable[roster.Server], named: dict[str, int], loading: set[str]
+    servers: Iterable[roster.Server], targets: dict[str, int], loading: set[str]
 ) -> list[Load]:
-    """Loads every version on every engine; the baseline."""
+    """Returns loads of every version on every engine.
+
+    It is the baseline that tests compare ``choose_loads`` with.
+    """
     return [
         Load(server, model, newest)
         for server in servers
-        for model, newest in sorted(named.items())
+        for model, newest in sorted(targets.items())
         if server.versions.get(model, newest) < newest
         and server.id not in loading
     ]
--- a/tests/batches/test_decisions.py
+++ b/tests/batches/test_decisions.py
@@ -63,7 +63,7 @@
         if choice is not None:
             waiting.remove(choice.sample)
             server = choice.server
-            share = 1 + placement.SLOWDOWN * server.in_flight
+            share = 1 + placement.SLOWDOWN_PER_REQUEST * server.in_flight
             took_s = choice.sample.item.length_hint * token_s * server.pace
             server.in_flight += 1
             ends.append((now + took_s * share, server))
@@ -75,12 +75,12 @@
 
 
 def choose_well(waiting, servers, now, token_s):
-    each = placement.choose_each(waiting, servers, {}, now, 0, token_s)
+    each = placement.place_by_slack(waiting, servers, {}, now, 0, token_s)
     return next(each, None)
 
 
 def choose_first(waiting, servers, now, token_s):
-    return placement.choose_first(waiting, servers, now)
+    return placement.place_first(waiting, servers, now)
 
 
 class PlacementTest(unittest.TestCase):
@@ -129,7 +129,7 @@
         )
         for version, kept in ((3, 1), (4, 0)):
             single.events = [sample.serverclient.StreamEvent(1, "t1", 3)]
-            single.keep_usable_text(version)
+            single.discard_unusable_text(version)
             self.assertEqual(len(single.events), kept)
 
 
