--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -123,7 +123,7 @@
     ),
     Break(
         "a draining server gets nothing new",
-        "fleet/roster.py",
+        "fleet/registry.py",
         "            and self.entry.state is ServerState.READY\n",
         "",
         SITE + "test_calls.CallTest.test_draining_server_gets_nothing_new",
@@ -371,15 +371,15 @@
     ),
     Break(
         "a server that says that it leaves gets nothing new",
-        "fleet/roster.py",
+        "fleet/registry.py",
         "            and not self.is_leaving\n",
         "",
         SITE + "test_leaving",
     ),
     Break(
         "a leaving server's entry that comes again changes nothing",
-        "fleet/roster.py",
-        "self.leaving.get(entry.id) == entry.born",
+        "fleet/registry.py",
+        "self.leaving_starts.get(entry.id) == entry.start_ms",
         "False",
         SITE + "test_leaving",
     ),
@@ -540,10 +540,10 @@
     ),
     Break(
         "failures side by side are not a row",
-        "fleet/roster.py",
+        "fleet/registry.py",
         "if now < self.ejected_until:",
         "if False:",
-        "tests.test_roster",
+        "tests.test_server_registry",
     ),
     Break(
         "calls that are given up teach how long answers take",
--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -20,7 +20,7 @@
 from kingcupscale.batches import sample as samples
 from kingcupscale.batches import scoring
 from kingcupscale.fleet import catalogue
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
 from kingcupscale.gateway import forwarder
 from kingcupscale.peering import handover
@@ -69,7 +69,7 @@
         self,
         service: str,
         book: books.Book,
-        servers: roster.Roster,
+        servers: registry.ServerRegistry,
         client: serverclient.ServerClient,
         forward: forwarder.Forwarder,
         measures: metrics.Metrics,
@@ -333,7 +333,9 @@
         ]
         self._move_slow_runs(now, waiting)
         usable = [
-            s for s in self.servers.of_service(self.service) if s.is_usable(now)
+            s
+            for s in self.servers.list_servers(self.service)
+            if s.is_usable(now)
         ]
         for choice in placement.choose_each(
             waiting, usable, self.prompts, now, now_ms, self.generator.token_s
@@ -352,7 +354,7 @@
         """Ends runs that would be done sooner on another engine."""
         free = [
             s
-            for s in self.servers.of_service(self.service)
+            for s in self.servers.list_servers(self.service)
             if s.is_usable(now) and s.load(now) < s.entry.slots
         ]
         if not free:
@@ -387,7 +389,7 @@
             if moving.is_worth_moving(pace, best * event_s, expected):
                 sample.moves += 1
                 taken += 1
-                here.note_pace(pace.event_s / max(1e-6, event_s))
+                here.update_relative_latency(pace.event_s / max(1e-6, event_s))
                 sample.run_scope.cancel()
 
     def _note_prompt(self, choice: placement.Choice) -> None:
--- a/src/kingcupscale/batches/generation.py
+++ b/src/kingcupscale/batches/generation.py
@@ -12,7 +12,7 @@
 from kingcupscale.batches import permission as permissions
 from kingcupscale.batches import placement
 from kingcupscale.batches import sample as samples
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
 
 # Time that an engine gets for the connection and for the whole run.
@@ -73,7 +73,9 @@
         self.event_s = 0.0
         self.event_tokens = EVENT_TOKENS
 
-    async def run(self, sample: samples.Sample, server: roster.Server) -> bool:
+    async def run(
+        self, sample: samples.Sample, server: registry.Server
+    ) -> bool:
         """Runs a sample once; whether its text is whole."""
         model = sample.record.batch.model
         version = server.versions.get(model, 0)
@@ -95,19 +97,19 @@
             self._postpone(sample, KEPT_BACK_PAUSE_S)
         except serverclient.ServerError as e:
             outcome = f"broken: {e.reason}"
-            server.note_failure(self.clock.monotonic())
+            server.record_failure(self.clock.monotonic())
             self._postpone(sample, FAILED_PAUSE_S)
         finally:
             self._log_run(sample, server, outcome, began_at, before, view_age_s)
         if outcome != "whole":
             return False
-        server.note_success()
+        server.record_success()
         self._learn(sample, server, began_at, before)
         return True
 
     @contextlib.asynccontextmanager
     async def _begun(
-        self, server: roster.Server, call: serverclient.Call
+        self, server: registry.Server, call: serverclient.Call
     ) -> AsyncIterator[serverclient.Answer]:
         """Sends a request whose answer has to begin in time."""
         async with contextlib.AsyncExitStack() as stack:
@@ -141,13 +143,13 @@
     async def _take_answer(
         self,
         sample: samples.Sample,
-        server: roster.Server,
+        server: registry.Server,
         answer: serverclient.Answer,
     ) -> str:
         """Reads an answer; returns "whole" or why the text is not."""
         now = self.clock.monotonic()
         if answer.load is not None:
-            server.note_load(answer.load, now)
+            server.update_load(answer.load, now)
         if answer.not_run:
             await self._note_turned_away(sample, server, answer)
             return f"turned away with {answer.status}"
@@ -162,19 +164,19 @@
     async def _note_turned_away(
         self,
         sample: samples.Sample,
-        server: roster.Server,
+        server: registry.Server,
         answer: serverclient.Answer,
     ) -> None:
         now = self.clock.monotonic()
         model = sample.record.batch.model
         if not answer.wrong_server:
-            server.closed[model] = now + TURNED_AWAY_S
+            server.no_samples_until[model] = now + TURNED_AWAY_S
         elif answer.version:
             server.versions[model] = answer.version
         else:
             # Its address may have gone to another server, or it has other
             # weights than this node was told; the report shows which.
-            server.note_failure(now)
+            server.record_failure(now)
             report = await self.client.report(server)
             server.versions.update(report.versions)
 
@@ -190,7 +192,7 @@
     async def _read_events(
         self,
         sample: samples.Sample,
-        server: roster.Server,
+        server: registry.Server,
         answer: serverclient.Answer,
     ) -> str:
         stream = self.client.events(answer)
@@ -217,7 +219,7 @@
                     raise serverclient.ServerError("text without end", True)
 
     def _silence_s(
-        self, sample: samples.Sample, server: roster.Server
+        self, sample: samples.Sample, server: registry.Server
     ) -> float:
         is_loading = server.loading_until > self.clock.monotonic()
         usual_s = LOADING_SILENCE_S if is_loading else SILENCE_S
@@ -229,7 +231,7 @@
     def _learn(
         self,
         sample: samples.Sample,
-        server: roster.Server,
+        server: registry.Server,
         began_at: float,
         before: int,
     ) -> None:
@@ -244,12 +246,14 @@
             self.token_s += TOKEN_WEIGHT * (token_s - self.token_s)
         self.event_s = self.event_s or elapsed_s / made
         self.event_s += TOKEN_WEIGHT * (elapsed_s / made - self.event_s)
-        server.note_pace(elapsed_s / made / max(1e-6, self.event_s))
+        server.update_relative_latency(
+            elapsed_s / made / max(1e-6, self.event_s)
+        )
 
     def _log_run(
         self,
         sample: samples.Sample,
-        server: roster.Server,
+        server: registry.Server,
         outcome: str,
         began_at: float,
         before: int,
--- a/src/kingcupscale/batches/loader.py
+++ b/src/kingcupscale/batches/loader.py
@@ -9,7 +9,7 @@
 from kingcupscale import events
 from kingcupscale.batches import weights
 from kingcupscale.fleet import catalogue
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
 from kingcupscale.peering import loads
 from kingcupscale.storage import tenure as tenures
@@ -60,7 +60,7 @@
     def __init__(
         self,
         tenure: tenures.Tenure,
-        servers: roster.Roster,
+        servers: registry.ServerRegistry,
         client: serverclient.ServerClient,
         named: dict[str, int],
         clock: clocks.Clock,
@@ -84,7 +84,7 @@
         now = self.clock.monotonic()
         servers = [
             server
-            for server in self.servers.of_service(self.tenure.name)
+            for server in self.servers.list_servers(self.tenure.name)
             if server.is_usable(now)
             and self.not_before.get(server.id, 0.0) <= now
         ]
@@ -98,7 +98,7 @@
         )
         for load in due:
             self.loading[load.server.id] = Loading(
-                load, now, load.server.entry.born
+                load, now, load.server.entry.start_ms
             )
             nursery.start_soon(self._load, load)
 
@@ -178,7 +178,7 @@
         self._tell(load, load.version, trial_s, 2 * self.load_s)
         await self.clock.sleep(trial_s)
         until = began_at + LOAD_LIMIT_S
-        while self.clock.monotonic() < until and not load.server.is_gone:
+        while self.clock.monotonic() < until and not load.server.is_removed:
             await self.clock.sleep(LOOK_S)
             if await self._find_out(load):
                 took_s = self.clock.monotonic() - began_at
--- a/src/kingcupscale/batches/placement.py
+++ b/src/kingcupscale/batches/placement.py
@@ -12,7 +12,7 @@
 import attrs
 
 from kingcupscale.batches import sample
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 
 # Time that a token takes before any has been measured, in seconds.
 TOKEN_S = 0.001
@@ -29,7 +29,7 @@
     """A sample and the engine it goes to."""
 
     sample: sample.Sample
-    server: roster.Server
+    server: registry.Server
 
 
 def slack_s(waiting: sample.Sample, now_ms: int, token_s: float) -> float:
@@ -47,18 +47,20 @@
     return waiting.route.due_s - age_s - expected_s + rank_s
 
 
-def can_run(waiting: sample.Sample, server: roster.Server, now: float) -> bool:
+def can_run(
+    waiting: sample.Sample, server: registry.Server, now: float
+) -> bool:
     """Tells whether an engine's weights will do for a sample, and are there."""
     batch = waiting.record.batch
     version = server.versions.get(batch.model, 0)
-    is_open = server.closed.get(batch.model, 0.0) <= now
+    is_open = server.no_samples_until.get(batch.model, 0.0) <= now
     return is_open and version >= batch.minimum_version
 
 
-def finish_cost(server: roster.Server, now: float, has_prompt: bool) -> float:
+def finish_cost(server: registry.Server, now: float, has_prompt: bool) -> float:
     """Returns how late a sample ends on an engine, relative to others."""
     others = server.load(now)
-    cost = server.pace * (1 + SLOWDOWN * others)
+    cost = server.relative_latency * (1 + SLOWDOWN * others)
     queue = max(0.0, others + 1 - server.entry.slots)
     cost += queue / max(1, server.entry.slots)
     if has_prompt:
@@ -68,7 +70,7 @@
 
 def choose_each(
     waiting: Iterable[sample.Sample],
-    servers: list[roster.Server],
+    servers: list[registry.Server],
     prompts: dict[str, set[str]],
     now: float,
     now_ms: int,
@@ -109,7 +111,7 @@
 
 def choose_first(
     waiting: Iterable[sample.Sample],
-    servers: list[roster.Server],
+    servers: list[registry.Server],
     now: float,
 ) -> Choice | None:
     """Returns any choice at all; the baseline of ``choose_each``."""
--- a/src/kingcupscale/batches/weights.py
+++ b/src/kingcupscale/batches/weights.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 
 # Engines of a model, as a multiple of its even share of all engines. More
 # would take samples elsewhere when engines are lost, but load more often.
@@ -26,7 +26,7 @@
 class Load:
     """An engine that is to load a version of a model."""
 
-    server: roster.Server
+    server: registry.Server
     model: str
     version: int
 
@@ -38,7 +38,7 @@
 
 
 def assign(
-    servers: list[roster.Server],
+    servers: list[registry.Server],
     named: dict[str, int],
     present: dict[str, set[str]],
 ) -> dict[str, set[str]]:
@@ -80,7 +80,7 @@
 
 
 def choose_loads(
-    servers: list[roster.Server],
+    servers: list[registry.Server],
     named: dict[str, int],
     assigned: dict[str, set[str]],
     allowed_lag: int,
@@ -123,8 +123,8 @@
 
 
 def _engines_to_load(
-    holders: list[roster.Server], model: str, newest: int, allowed_lag: int
-) -> list[roster.Server]:
+    holders: list[registry.Server], model: str, newest: int, allowed_lag: int
+) -> list[registry.Server]:
     """Returns engines that need the newest version, the most behind first."""
     oldest = newest - allowed_lag
     order = sorted(
@@ -139,7 +139,7 @@
 
 
 def choose_all(
-    servers: Iterable[roster.Server], named: dict[str, int], loading: set[str]
+    servers: Iterable[registry.Server], named: dict[str, int], loading: set[str]
 ) -> list[Load]:
     """Loads every version on every engine; the baseline."""
     return [
--- a/src/kingcupscale/capacity/fleetsize.py
+++ b/src/kingcupscale/capacity/fleetsize.py
@@ -15,7 +15,7 @@
 from kingcupscale import clock as clocks
 from kingcupscale import events
 from kingcupscale.fleet import catalogue
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.storage import tenure as tenures
 
 # Pause after a refused order before the same zone is asked again.
@@ -130,7 +130,7 @@
     def __init__(
         self,
         tenure: tenures.Tenure,
-        servers: roster.Roster,
+        servers: registry.ServerRegistry,
         provider: Provider,
         clock: clocks.Clock,
         catalogue_now: Callable[[], catalogue.Catalogue | None],
@@ -156,8 +156,8 @@
         now = self.clock.monotonic()
         present = [
             server
-            for server in self.servers.of_service(service.name)
-            if server.entry.state is roster.ServerState.READY
+            for server in self.servers.list_servers(service.name)
+            if server.entry.state is registry.ServerState.READY
         ]
         self.demand.note(now, self.demand_now())
         if not self.initial:
--- a/src/kingcupscale/clusterstate.py
+++ b/src/kingcupscale/clusterstate.py
@@ -5,7 +5,7 @@
 from kingcupscale import dependencies
 from kingcupscale import events
 from kingcupscale.fleet import catalogue
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.storage import entries
 from kingcupscale.storage import feed as feeds
 from kingcupscale.storage import store as stores
@@ -30,7 +30,7 @@
     def __init__(
         self,
         feed: feeds.Feed,
-        servers: roster.Roster,
+        servers: registry.ServerRegistry,
         keys: dependencies.Keys,
         decoders: dependencies.Decoders,
     ) -> None:
@@ -65,7 +65,7 @@
         decode = functools.partial(self.decoders.server, server_id)
         found = entries.read(entry, decode)
         if found is not None:
-            self.servers.enter(found)
+            self.servers.register(found)
 
     def _take_version(self, entry: stores.Entry) -> None:
         if entry.value is None:
--- a/src/kingcupscale/dependencies.py
+++ b/src/kingcupscale/dependencies.py
@@ -8,7 +8,7 @@
 from kingcupscale import clock as clocks
 from kingcupscale.capacity import fleetsize
 from kingcupscale.fleet import catalogue
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
 from kingcupscale.peering import commits
 from kingcupscale.peering import counts
@@ -43,7 +43,7 @@
     """How what they write is read; each raises ``ValueError``."""
 
     catalogue: Callable[[bytes], catalogue.Catalogue]
-    server: Callable[[str, bytes], roster.ServerEntry]
+    server: Callable[[str, bytes], registry.ServerEntry]
     target_version: Callable[[bytes], tuple[str, int]]
     retirement_state: Callable[[str], bytes]
 
--- a/src/kingcupscale/fleet/serverclient.py
+++ b/src/kingcupscale/fleet/serverclient.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.storage import tenure as tenures
 
 
@@ -168,7 +168,7 @@
     """What the product asks of backend servers."""
 
     def run(
-        self, server: roster.Server, call: Call, connect_s: float
+        self, server: registry.Server, call: Call, connect_s: float
     ) -> contextlib.AbstractAsyncContextManager[Answer]:
         """Sends a request; leaving the context early abandons the answer.
 
@@ -186,7 +186,7 @@
         ...
 
     async def order(
-        self, server: roster.Server, order: VersionOrder
+        self, server: registry.Server, order: VersionOrder
     ) -> OrderOutcome:
         """Gives an order and returns its ``OrderOutcome``.
 
@@ -195,7 +195,7 @@
         """
         ...
 
-    async def report(self, server: roster.Server) -> EngineReport:
+    async def report(self, server: registry.Server) -> EngineReport:
         """Returns how an engine stands.
 
         Raises:
--- a/src/kingcupscale/gateway/forwarder.py
+++ b/src/kingcupscale/gateway/forwarder.py
@@ -11,7 +11,7 @@
 from kingcupscale import events
 from kingcupscale import metrics
 from kingcupscale.fleet import catalogue
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
 from kingcupscale.gateway import admission as admissions
 from kingcupscale.gateway import attempts as tries
@@ -64,7 +64,7 @@
     def __init__(
         self,
         admission: admissions.Admission,
-        servers: roster.Roster,
+        servers: registry.ServerRegistry,
         client: serverclient.ServerClient,
         usage: UsageCounter,
         measures: metrics.Metrics,
@@ -156,7 +156,7 @@
 
     async def _find_server(
         self, inbound: inbounds.Inbound, attempts: tries.Attempts
-    ) -> roster.Server | None:
+    ) -> registry.Server | None:
         """Returns a server with room, waiting a little for one."""
         until = attempts.wait_until
         if inbound.is_background:
@@ -175,10 +175,10 @@
 
     def _choose(
         self, inbound: inbounds.Inbound, attempts: tries.Attempts, now: float
-    ) -> roster.Server | None:
+    ) -> registry.Server | None:
         usable = [
             server
-            for server in self.servers.of_service(attempts.service)
+            for server in self.servers.list_servers(attempts.service)
             if server.is_usable(now) and server.id not in attempts.full
         ]
         if inbound.is_background:
@@ -193,7 +193,7 @@
         self,
         inbound: inbounds.Inbound,
         attempts: tries.Attempts,
-        server: roster.Server,
+        server: registry.Server,
     ) -> message.Response | None:
         """Sends a call once; None if that brought no answer to pass on."""
         now = self.clock.monotonic()
@@ -212,7 +212,7 @@
                 attempts.tried.add(server.id)
                 attempts.reason = f"no answer in {limit_s:.2f} s"
                 self._learn_latency(attempts.service, limit_s)
-                server.note_failure(self.clock.monotonic())
+                server.record_failure(self.clock.monotonic())
         except serverclient.WithdrawnError:
             raise
         except serverclient.ServerError as e:
@@ -223,7 +223,7 @@
             else:
                 attempts.full.add(server.id)
                 attempts.reason = ""
-            server.note_failure(self.clock.monotonic())
+            server.record_failure(self.clock.monotonic())
             events.log(
                 events.Event.ANSWER_REJECTED,
                 request=call.request_id,
@@ -266,7 +266,7 @@
     async def _exchange(
         self,
         attempts: tries.Attempts,
-        server: roster.Server,
+        server: registry.Server,
         call: serverclient.Call,
     ) -> message.Response | None:
         began_at = self.clock.monotonic()
@@ -301,17 +301,17 @@
     def _was_turned_away(
         self,
         attempts: tries.Attempts,
-        server: roster.Server,
+        server: registry.Server,
         answer: serverclient.Answer,
     ) -> bool:
         now = self.clock.monotonic()
         if answer.load is not None:
-            server.note_load(answer.load, now)
+            server.update_load(answer.load, now)
         if not answer.not_run:
             return False
         attempts.full.add(server.id)
         if answer.wrong_server:
-            server.note_failure(now)
+            server.record_failure(now)
         return True
 
     def _check(self, answer: serverclient.Answer) -> None:
@@ -321,12 +321,12 @@
             )
 
     def _learn(
-        self, attempts: tries.Attempts, server: roster.Server, began_at: float
+        self, attempts: tries.Attempts, server: registry.Server, began_at: float
     ) -> None:
         elapsed_s = self.clock.monotonic() - began_at
         usual_s = self._learn_latency(attempts.service, elapsed_s)
-        server.note_success()
-        server.note_pace(elapsed_s / max(usual_s, 0.001))
+        server.record_success()
+        server.update_relative_latency(elapsed_s / max(usual_s, 0.001))
         if attempts.organisation is not None:
             self.usage.note_begun(attempts.organisation.name)
 
@@ -345,7 +345,7 @@
     async def _open_stream(
         self,
         attempts: tries.Attempts,
-        server: roster.Server,
+        server: registry.Server,
         call: serverclient.Call,
     ) -> message.Response | None:
         """Returns an answer whose events are passed on as they come."""
@@ -381,7 +381,7 @@
                 code, attempts.reason, errors.Run.UNKNOWN
             )
         else:
-            servers = self.servers.of_service(attempts.service)
+            servers = self.servers.list_servers(attempts.service)
             is_any = any(s.is_usable(now) for s in servers)
             code = (
                 errors.ResultCode.DEADLINE_UNMET
--- a/src/kingcupscale/gateway/placement.py
+++ b/src/kingcupscale/gateway/placement.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 import random
 
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 
 # A server in another zone must be this much less busy, as a share of its
 # slots, to be worth the bytes between zones.
@@ -18,11 +18,11 @@
 
 
 def choose(
-    servers: Iterable[roster.Server],
+    servers: Iterable[registry.Server],
     zone: str,
     now: float,
     rng: random.Random,
-) -> roster.Server | None:
+) -> registry.Server | None:
     """Returns the server on which a call probably ends first.
 
     Args:
@@ -38,19 +38,21 @@
     )
 
 
-def cost(server: roster.Server, zone: str, now: float) -> float:
+def cost(server: registry.Server, zone: str, now: float) -> float:
     """Returns the expected time on a server, in services of an idle one."""
     share = server.load(now) / max(1, server.entry.slots)
-    total = (1.0 + share) * server.pace + FAILURE_COST * server.failures
+    total = (
+        1.0 + share
+    ) * server.relative_latency + FAILURE_COST * server.failures
     return total if server.entry.zone == zone else total + OTHER_ZONE_COST
 
 
 def choose_first(
-    servers: Iterable[roster.Server],
+    servers: Iterable[registry.Server],
     zone: str,
     now: float,
     rng: random.Random,
-) -> roster.Server | None:
+) -> registry.Server | None:
     """Returns any server; the baseline of ``choose``."""
     candidates = sorted(servers, key=lambda server: server.id)
     return rng.choice(candidates) if candidates else None
--- a/src/kingcupscale/leadership.py
+++ b/src/kingcupscale/leadership.py
@@ -54,7 +54,7 @@
         self.coordinator = coordinators.Coordinator(
             service,
             runtime.book,
-            runtime.roster,
+            runtime.server_registry,
             deps.servers,
             runtime.forwarder,
             runtime.metrics,
@@ -64,7 +64,7 @@
         )
         self.loader = loaders.Loader(
             self.tenure,
-            runtime.roster,
+            runtime.server_registry,
             deps.servers,
             runtime.cluster_state.target_versions,
             deps.clock,
@@ -73,7 +73,7 @@
         )
         self.sizer = fleetsize.Sizer(
             self.tenure,
-            runtime.roster,
+            runtime.server_registry,
             deps.provider,
             deps.clock,
             runtime.current_catalogue,
--- a/src/kingcupscale/operating/exposition.py
+++ b/src/kingcupscale/operating/exposition.py
@@ -39,7 +39,7 @@
         configured = runtime.cluster_state.catalogue
         usable = [
             server
-            for server in runtime.roster.servers.values()
+            for server in runtime.server_registry.servers.values()
             if server.is_usable(runtime.clock.monotonic())
         ]
         return [
@@ -48,7 +48,7 @@
             f"mirror_age_seconds {runtime.feed.age_s():.3f}",
             f"mirror_revision {runtime.feed.revision}",
             f"duties_held {runtime.count_held_duties()}",
-            f"servers_known {len(runtime.roster.servers)}",
+            f"servers_known {len(runtime.server_registry.servers)}",
             f"servers_usable {len(usable)}",
             f"batches_known {len(runtime.book.records)}",
             f"readers_waiting {runtime.book.readers}",
--- a/src/kingcupscale/platform/documents.py
+++ b/src/kingcupscale/platform/documents.py
@@ -8,7 +8,7 @@
 
 from kingcupscale.batches import batch
 from kingcupscale.fleet import catalogue
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.platform import names
 
 # What may stand in a request's first line and in its headers.
@@ -118,7 +118,7 @@
     )
 
 
-def decode_server(server_id: str, value: bytes) -> roster.ServerEntry:
+def decode_server(server_id: str, value: bytes) -> registry.ServerEntry:
     """Returns what a backend server entered of itself.
 
     Raises:
@@ -133,18 +133,18 @@
         for name in ("service", "zone"):
             if not isinstance(entry[name], str) or not entry[name]:
                 raise ValueError(f"{name} {entry[name]!r}")
-        return roster.ServerEntry(
+        return registry.ServerEntry(
             id=server_id,
             service=entry["service"],
             address=address,
             zone=entry["zone"],
-            state=roster.ServerState(entry["state"]),
+            state=registry.ServerState(entry["state"]),
             slots=_whole(entry, "slots"),
-            born=_whole(entry, "born", 0),
+            start_ms=_whole(entry, "born", 0),
             # "sequence" counts its entries here, and its orders in reports.
             versions=decode_versions(entry.get("models", ())),
             is_spot=bool(entry.get("spot", False)),
-            cold_s=_whole(entry, "coldRemainingMs", 0) / 1000,
+            warmup_s=_whole(entry, "coldRemainingMs", 0) / 1000,
         )
     except (KeyError, TypeError, AttributeError) as e:
         raise ValueError(f"server entry: {e!r}") from e
--- a/src/kingcupscale/platform/servers.py
+++ b/src/kingcupscale/platform/servers.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
 from kingcupscale.platform import documents
 from kingcupscale.platform import names
@@ -40,7 +40,7 @@
 
     @contextlib.asynccontextmanager
     async def run(
-        self, server: roster.Server, call: serverclient.Call, connect_s: float
+        self, server: registry.Server, call: serverclient.Call, connect_s: float
     ) -> AsyncIterator[serverclient.Answer]:
         """Sends a request; leaving the context early abandons the answer."""
         request = message.Request(
@@ -92,7 +92,7 @@
             raise serverclient.ServerError("stream ends inside an event", True)
 
     async def order(
-        self, server: roster.Server, order: serverclient.VersionOrder
+        self, server: registry.Server, order: serverclient.VersionOrder
     ) -> serverclient.OrderOutcome:
         """Gives an order and returns its ``OrderOutcome``."""
         body = {
@@ -115,7 +115,9 @@
             response.status, serverclient.OrderOutcome.REFUSED
         )
 
-    async def report(self, server: roster.Server) -> serverclient.EngineReport:
+    async def report(
+        self, server: registry.Server
+    ) -> serverclient.EngineReport:
         """Returns how an engine stands."""
         request = message.Request(
             "GET", "/report", "", {names.EXPECT_SERVER: server.id}
@@ -134,7 +136,7 @@
             raise serverclient.ServerError(f"report: {e!r}", False) from e
 
     async def _fetch(
-        self, server: roster.Server, request: message.Request
+        self, server: registry.Server, request: message.Request
     ) -> message.Response:
         request.headers["host"] = server.entry.address
         try:
@@ -158,7 +160,7 @@
         return response
 
 
-def _note_leaving(server: roster.Server, response: message.Response) -> None:
+def _note_leaving(server: registry.Server, response: message.Response) -> None:
     """Tells a server that it leaves, if this answer is its own.
 
     Another server may have got the address; it answers 421 with its own id.
@@ -167,11 +169,11 @@
         return
     answered_by = response.headers.get(names.SERVER_ID)
     if response.status != 421 or answered_by == server.id:
-        server.note_leaving()
+        server.mark_leaving()
 
 
 def _encode_headers(
-    server: roster.Server, call: serverclient.Call
+    server: registry.Server, call: serverclient.Call
 ) -> dict[str, str]:
     headers = dict(call.headers)
     headers["host"] = call.host
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -19,7 +19,7 @@
 from kingcupscale.batches import record as records
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import peers
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.gateway import admission as admissions
 from kingcupscale.gateway import callers
 from kingcupscale.gateway import forwarder
@@ -118,7 +118,7 @@
             settings.bounds.cancel_s,
             self.peers.heard_at,
         )
-        self.roster = roster.Roster(
+        self.server_registry = registry.ServerRegistry(
             self.clock,
             lambda: self.feed.regained_at,
             lambda: self.feed.is_lost,
@@ -148,7 +148,7 @@
         self.candidates = candidates.Candidates(self.feed, settings.node)
         self.feed.subscribe(tenures.NODES_PREFIX, self._take_node)
         self.cluster_state = clusterstate.ClusterState(
-            self.feed, self.roster, deps.keys, deps.decoders
+            self.feed, self.server_registry, deps.keys, deps.decoders
         )
         self.readiness = readiness.Readiness(
             self.feed,
@@ -181,7 +181,7 @@
         )
         self.forwarder = forwarder.Forwarder(
             admission,
-            self.roster,
+            self.server_registry,
             deps.servers,
             self.usage,
             self.metrics,
@@ -235,12 +235,12 @@
 
     def apply_load_state(self, state: loads.LoadState) -> None:
         """Takes over how a load on an engine stands."""
-        server = self.roster.servers.get(state.server)
+        server = self.server_registry.servers.get(state.server)
         if server is None:
             return
         now = self.clock.monotonic()
         server.versions[state.model] = state.version
-        server.closed[state.model] = now + state.closed_s
+        server.no_samples_until[state.model] = now + state.closed_s
         server.loading_until = now + state.loading_s
         self._wake_coordinators()
 
@@ -377,7 +377,7 @@
 
     async def _sweep_forever(self) -> None:
         while True:
-            self.roster.sweep()
+            self.server_registry.remove_expired()
             await self.clock.rest(SWEEP_PAUSE_S)
 
     async def _lead_services(self) -> None:
--- a/tests/batches/test_decisions.py
+++ b/tests/batches/test_decisions.py
@@ -13,7 +13,7 @@
 from kingcupscale.batches import weights
 from kingcupscale.capacity import fleetsize
 from kingcupscale.fleet import catalogue
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.gateway import placement as call_placement
 from kingcupscale.gateway import refusal
 
@@ -28,17 +28,20 @@
 
 
 def make_server(name, zone="a", slots=8, versions=None, pace=1.0, busy=0):
-    entry = roster.ServerEntry(
+    entry = registry.ServerEntry(
         name,
         "engines",
         f"{name}:80",
         zone,
-        roster.ServerState.READY,
+        registry.ServerState.READY,
         slots,
-        born=1,
+        start_ms=1,
     )
-    return roster.Server(
-        entry, versions=versions or {"m": 1}, pace=pace, in_flight=busy
+    return registry.Server(
+        entry,
+        versions=versions or {"m": 1},
+        relative_latency=pace,
+        in_flight=busy,
     )
 
 
@@ -64,7 +67,11 @@
             waiting.remove(choice.sample)
             server = choice.server
             share = 1 + placement.SLOWDOWN * server.in_flight
-            took_s = choice.sample.item.length_hint * token_s * server.pace
+            took_s = (
+                choice.sample.item.length_hint
+                * token_s
+                * server.relative_latency
+            )
             server.in_flight += 1
             ends.append((now + took_s * share, server))
             continue
@@ -109,7 +116,7 @@
     )
     def test_engine_can_run(self, _, versions, minimum, closed, expected):
         server = make_server("e", versions=versions)
-        server.closed["m"] = closed
+        server.no_samples_until["m"] = closed
         waiting = make_sample("s", minimum=minimum)
         self.assertEqual(placement.can_run(waiting, server, 5.0), expected)
 
--- a/tests/platform/harness.py
+++ b/tests/platform/harness.py
@@ -188,7 +188,7 @@
     def add_server(self, server):
         self.servers[server.id] = server
         self.network.serve(server.id, server.address, server)
-        server.enter()
+        server.register()
 
     def write_configuration(self, configuration):
         self.store.put(names.CONFIGURATION_KEY, orjson.dumps(configuration))
--- a/tests/platform/serverstandin.py
+++ b/tests/platform/serverstandin.py
@@ -50,7 +50,7 @@
         self.is_leaving = False
         self.born = 1
 
-    def enter(self):
+    def register(self):
         self.beats += 1
         entry = {
             "service": self.service,
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -95,7 +95,7 @@
         async with harness.launch(nodes=1) as site:
             # The one in the node's own zone, which it prefers.
             site.servers["p2"].state = "draining"
-            site.servers["p2"].enter()
+            site.servers["p2"].register()
             await trio.sleep(1)
             for number in range(8):
                 await self._send(site, harness.CALL_PATH + "1", f"q{number}")
@@ -123,7 +123,9 @@
         async with harness.launch(nodes=1) as site:
             site.store.put(names.SERVERS_PREFIX + "odd", value)
             await trio.sleep(1)
-            self.assertNotIn("odd", site.nodes[0].runtime.roster.servers)
+            self.assertNotIn(
+                "odd", site.nodes[0].runtime.server_registry.servers
+            )
             response = await self._send(site, harness.CALL_PATH + "1")
             self.assertEqual(response.status, 200)
 
@@ -138,8 +140,8 @@
             await trio.sleep(1)
             response = await self._send(site, harness.CALL_PATH + "1")
             self.assertEqual(response.status, 200)
-            site.servers["p1"].enter()
+            site.servers["p1"].register()
             await trio.sleep(3)
-            servers = site.nodes[0].runtime.roster.servers
+            servers = site.nodes[0].runtime.server_registry.servers
             self.assertIn("p1", servers)
             self.assertNotIn("p2", servers)
--- a/tests/platform/test_configurations.py
+++ b/tests/platform/test_configurations.py
@@ -138,7 +138,7 @@
                 self.assertEqual(
                     (await self._quote(site, node, "k2")).status, 200
                 )
-                self.assertNotIn("p1", node.runtime.roster.servers)
+                self.assertNotIn("p1", node.runtime.server_registry.servers)
 
 
 class Late:
--- a/tests/platform/test_ended.py
+++ b/tests/platform/test_ended.py
@@ -118,7 +118,7 @@
             generator = coordinator.generator
             coordinator.set_active(harness.MODEL, False)
             began = len(site.runs)
-            server = node.runtime.roster.servers["e1"]
+            server = node.runtime.server_registry.servers["e1"]
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(generator.run, sample, server)
                 await trio.sleep(0)
@@ -255,7 +255,7 @@
             await trio.sleep(0.6)
             for name in ("p1", "p2"):
                 site.servers[name].state = "draining"
-                site.servers[name].enter()
+                site.servers[name].register()
             drain_s = node.runtime.settings.bounds.drain_s
             drained_at = trio.current_time() + drain_s
             for number in range(25):
--- a/tests/platform/test_endless.py
+++ b/tests/platform/test_endless.py
@@ -18,7 +18,7 @@
 from kingcupscale.batches import permission as permissions
 from kingcupscale.batches import record as records
 from kingcupscale.batches import sample as samples
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
 from kingcupscale.gateway import admission as admissions
 from kingcupscale.gateway import forwarder
@@ -64,19 +64,21 @@
         self.clock = clocks.SystemClock()
         self.http_client = httpclient.PooledHttpClient()
         self.client = servers.PlatformServers(self.http_client)
-        self.roster = roster.Roster(self.clock, lambda: 0.0, lambda: False)
+        self.server_registry = registry.ServerRegistry(
+            self.clock, lambda: 0.0, lambda: False
+        )
         for name, service in (
             ("plain", "plain"),
             ("other", "plain"),
             ("engines", "engines"),
         ):
-            self.roster.enter(
-                roster.ServerEntry(
+            self.server_registry.register(
+                registry.ServerEntry(
                     name,
                     service,
                     server.address,
                     "a",
-                    roster.ServerState.READY,
+                    registry.ServerState.READY,
                     2 * CALLS_AT_ONCE,
                     1,
                     {harness.MODEL: 1},
@@ -88,7 +90,7 @@
         self.catalogue = configured
         self.forwarder = forwarder.Forwarder(
             admissions.Admission(lambda: configured, lambda: None),
-            self.roster,
+            self.server_registry,
             self.client,
             Usage(),
             metrics.Metrics(),
@@ -143,7 +145,9 @@
         )
         route = self.catalogue.find_route(harness.HOST, harness.BATCH_PATH)
         sample = samples.Sample(item, records.Record(batch, 0), route)
-        return await self.generator.run(sample, self.roster.servers["engines"])
+        return await self.generator.run(
+            sample, self.server_registry.servers["engines"]
+        )
 
 
 def before(kind, use):
@@ -188,7 +192,7 @@
             else:
                 self.assertIsNotNone(failure)
             # Whatever comes next is not taken from the same connection.
-            world.roster.servers["plain"].note_success()
+            world.server_registry.servers["plain"].record_success()
             await world.call(2, path)
             await trio.sleep(0.05)
             await world.http_client.aclose()
@@ -206,7 +210,7 @@
             with trio.fail_after(HEAD_S + SLACK_S):
                 is_whole = await world.run_sample(1)
             self.assertFalse(is_whole)
-            engine = world.roster.servers["engines"]
+            engine = world.server_registry.servers["engines"]
             self.assertGreater(engine.failures, 0)
 
         before(kind, use)
@@ -242,7 +246,7 @@
     @parameterized.parameterized.expand([(kind,) for kind in KINDS])
     def test_report_and_order_end_in_time(self, kind):
         async def use(server, world):
-            engine = world.roster.servers["engines"]
+            engine = world.server_registry.servers["engines"]
             order = serverclient.VersionOrder(harness.MODEL, 2, True, HOLDER, 0)
             with trio.fail_after(2 * servers.ORDER_TIMEOUT_S + SLACK_S):
                 with self.assertRaises(serverclient.ServerError):
@@ -270,7 +274,7 @@
                 world = World(server)
                 first = await world.send(1, path)
                 self.assertEqual(first.body, b"answer to r1")
-                world.roster.servers["plain"].note_success()
+                world.server_registry.servers["plain"].record_success()
                 if may_repeat:
                     second = await world.send(2, path)
                     self.assertEqual(second.body, b"answer to r2")
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -52,7 +52,9 @@
     node = site.nodes[0].runtime
     for name in (*PLAIN, *ENGINES):
         with contextlib.suppress(serverclient.ServerError):
-            await node.dependencies.servers.report(node.roster.servers[name])
+            await node.dependencies.servers.report(
+                node.server_registry.servers[name]
+            )
 
 
 class LeavingTest(unittest.TestCase):
@@ -78,7 +80,7 @@
             server.is_leaving = True
             server.is_full = status == 503
             server.statuses = [status]
-            roster = site.nodes[0].runtime.roster.servers
+            roster = site.nodes[0].runtime.server_registry.servers
             await use(site)
             self.assertTrue(roster[server.id].is_leaving)
             begun, orders = len(server.begun), server.orders
@@ -109,11 +111,11 @@
             if goes:
                 site.store.remove(names.SERVERS_PREFIX + server.id)
                 await trio.sleep(1)
-                roster = site.nodes[0].runtime.roster.servers
+                roster = site.nodes[0].runtime.server_registry.servers
                 self.assertNotIn(server.id, roster)
             if not is_leaving:
                 server.born += 1
-            server.enter()
+            server.register()
             await trio.sleep(1)
             begun = len(server.begun)
             await _call(site)
@@ -130,7 +132,7 @@
 
             server.answer = answer_as_another
             await _call(site)
-            known = site.nodes[0].runtime.roster.servers["p2"]
+            known = site.nodes[0].runtime.server_registry.servers["p2"]
             self.assertFalse(known.is_leaving)
             self.assertFalse(known.is_usable(site.clock.monotonic()))
 
@@ -148,7 +150,7 @@
             order = serverclient.VersionOrder(harness.MODEL, 2, True, HOLDER, 0)
             with self.assertRaises(serverclient.ServerError) as caught:
                 await node.dependencies.servers.order(
-                    node.roster.servers["e1"], order
+                    node.server_registry.servers["e1"], order
                 )
             self.assertTrue(caught.exception.may_have_run)
 
--- a/tests/platform/test_permission.py
+++ b/tests/platform/test_permission.py
@@ -8,7 +8,7 @@
 
 from kingcupscale.capacity import fleetsize
 from kingcupscale.fakes import virtualtime
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
 from kingcupscale.platform import cloud
 from kingcupscale.platform import servers
@@ -61,12 +61,12 @@
 
 
 async def _load(http_client, holder):
-    entry = roster.ServerEntry(
-        "e1", "engines", "e1:80", "a", roster.ServerState.READY, 4, 1
+    entry = registry.ServerEntry(
+        "e1", "engines", "e1:80", "a", registry.ServerState.READY, 4, 1
     )
     order = serverclient.VersionOrder("m", 2, True, holder, 0)
     client = servers.PlatformServers(http_client)
-    await client.order(roster.Server(entry), order)
+    await client.order(registry.Server(entry), order)
 
 
 class PermissionTest(unittest.TestCase):
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -272,7 +272,7 @@
         added.address = link.address
         self.servers[name] = added
         self.server_links[name] = link
-        added.enter()
+        added.register()
 
     async def _beat(self):
         """Has servers come back that the store has lost."""
@@ -280,7 +280,7 @@
             await trio.sleep(1.0)
             for name, present in self.servers.items():
                 if names.SERVERS_PREFIX + name not in self.store.items:
-                    present.enter()
+                    present.register()
 
     def write_configuration(self, configuration):
         """Writes a configuration as the operator does."""
--- a/tests/storage/test_pace.py
+++ b/tests/storage/test_pace.py
@@ -43,7 +43,7 @@
             leader.relay = count
             for _ in range(100):
                 for server in site.servers.values():
-                    server.enter()
+                    server.register()
                 await trio.sleep(0.1)
             self.assertLess(answers / 10, 130)
             configuration = harness.make_configuration(version=9)
--- a/tests/test_roster.py
+++ b/tests/test_server_registry.py
@@ -4,14 +4,14 @@
 
 import parameterized
 
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 
 
 def _make_server():
-    entry = roster.ServerEntry(
-        "e1", "engines", "e1:80", "a", roster.ServerState.READY, 4, 1
+    entry = registry.ServerEntry(
+        "e1", "engines", "e1:80", "a", registry.ServerState.READY, 4, 1
     )
-    return roster.Server(entry)
+    return registry.Server(entry)
 
 
 class EjectionTest(unittest.TestCase):
@@ -27,6 +27,6 @@
     def test_calls_that_fail_together_count_once(self, _, failed_at, until):
         server = _make_server()
         for at in failed_at:
-            server.note_failure(at)
+            server.record_failure(at)
         self.assertFalse(server.is_usable(until - 0.01))
         self.assertTrue(server.is_usable(until + 0.01))
