--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -117,7 +117,7 @@
     Break(
         "texts go on after a takeover",
         "batches/coordinator.py",
-        "sample.events = self.texts.pop(item.id, [])",
+        "sample.events = self.partial_texts.pop(item.id, [])",
         "sample.events = []",
         SITE + "test_batches.BatchTest.test_texts_go_on_after_a_takeover",
     ),
@@ -153,8 +153,9 @@
     Break(
         "a result is listed in its own batch only",
         "batches/coordinator.py",
-        "place = (sample.record.batch.id, sample.id)",
-        "place = next((p for p in self.results if p[1] == sample.id), None)",
+        "key = (sample.record.batch.id, sample.id)",
+        "key = next((k for k in self.copied_results if k[1] == sample.id), "
+        "None)",
         SITE + "test_versions.VersionTest"
         ".test_result_of_an_ended_batch_is_not_listed_in_another",
     ),
@@ -444,14 +445,14 @@
         "batches/book.py",
         "        feed.defer(records.PREFIX)\n",
         "",
-        SITE + "test_herd",
+        SITE + "test_thundering_herd",
     ),
     Break(
         "an ended batch takes little",
         "batches/acceptance.py",
         "for number in range(parts):",
         "for number in range(0):",
-        SITE + "test_herd",
+        SITE + "test_thundering_herd",
     ),
     Break(
         "a lost node's samples go on soon",
@@ -472,14 +473,14 @@
         "platform/cloud.py",
         "        request.before_send = holder.check\n",
         "",
-        SITE + "test_permission",
+        SITE + "test_lease_expiry",
     ),
     Break(
         "no order to an engine leaves after its lease",
         "platform/servers.py",
         "        request.before_send = order.holder.check\n",
         "",
-        SITE + "test_permission",
+        SITE + "test_lease_expiry",
     ),
     Break(
         "a request that was read at a stop is answered",
@@ -519,14 +520,14 @@
     ),
     Break(
         "nothing of an ended batch is sent by an old view",
-        "batches/permission.py",
+        "batches/sendguard.py",
         "if not self.view.is_current():",
         "if False:",
         SITE + "test_ended",
     ),
     Break(
         "an item whose batch ends while it connects is kept back",
-        "batches/permission.py",
+        "batches/sendguard.py",
         "if not sample.record.is_open():",
         "if False:",
         SITE + "test_ended",
--- a/src/kingcupscale/batches/generation.py
+++ b/src/kingcupscale/batches/generation.py
@@ -9,9 +9,9 @@
 
 from kingcupscale import clock as clocks
 from kingcupscale import events
-from kingcupscale.batches import permission as permissions
 from kingcupscale.batches import placement
 from kingcupscale.batches import sample as samples
+from kingcupscale.batches import sendguard
 from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
 
@@ -20,7 +20,7 @@
 RUN_LIMIT_S = 30.0
 # An engine begins its answer with the first token; before that, a run waits
 # for a place and for weights that are being loaded.
-HEAD_S = 5.0
+HEADER_TIMEOUT_S = 5.0
 # An engine that sends nothing for this long is given up for another one; one
 # that loads weights keeps its runs waiting meanwhile.
 SILENCE_S = 0.8
@@ -49,7 +49,7 @@
     Args:
         client: Calls the engines.
         clock: Tells the time.
-        permission: Lets requests leave.
+        guard: Checks that requests may still be sent.
         fail: Ends a sample that can't be done, for a reason.
 
     Attributes:
@@ -62,12 +62,12 @@
         self,
         client: serverclient.ServerClient,
         clock: clocks.Clock,
-        permission: permissions.Permission,
+        guard: sendguard.SendGuard,
         fail: Callable[[samples.Sample, str], None],
     ) -> None:
         self.client = client
         self.clock = clock
-        self.permission = permission
+        self.guard = guard
         self.fail = fail
         self.token_s = placement.TOKEN_S
         self.event_s = 0.0
@@ -85,7 +85,7 @@
         before = len(sample.events)
         call = self._make_call(sample, version)
         outcome = "given up"
-        view_age_s = self.permission.view.age_s()
+        view_age_s = self.guard.view.age_s()
         try:
             with sample.run_scope:
                 async with self._begun(server, call) as answer:
@@ -113,7 +113,7 @@
     ) -> AsyncIterator[serverclient.Answer]:
         """Sends a request whose answer has to begin in time."""
         async with contextlib.AsyncExitStack() as stack:
-            with trio.move_on_after(HEAD_S) as scope:
+            with trio.move_on_after(HEADER_TIMEOUT_S) as scope:
                 answer = await stack.enter_async_context(
                     self.client.run(server, call, CONNECT_S)
                 )
@@ -137,7 +137,7 @@
             expected_version=version or None,
             resume_after=sample.resume_after(),
             priority=min(9, sample.route.priority),
-            check=functools.partial(self.permission.check, sample),
+            check=functools.partial(self.guard.check, sample),
         )
 
     async def _take_answer(
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -218,7 +218,7 @@
     def _take_copy(self, copy: handover.Copy) -> message.Response:
         """Takes over texts, and the samples of a node that stops."""
         duty = self.services.get(copy.service)
-        fits = duty is None or duty.coordinator.take_copy(copy)
+        fits = duty is None or duty.coordinator.apply_copy(copy)
         model = self.models.get(
             leadership.model_duty_name(copy.service, copy.model)
         )
@@ -321,7 +321,7 @@
         if self.is_leader():
             return LEADER_PAUSE_S
         is_needed = self.book.readers or any(
-            duty.coordinator.active for duty in self.services.values()
+            duty.coordinator.active_models for duty in self.services.values()
         )
         if self.feed.is_following and is_needed:
             return NEEDED_PAUSE_S
