--- a/src/kingcupscale/batches/generation.py
+++ b/src/kingcupscale/batches/generation.py
@@ -12,7 +12,7 @@
 from kingcupscale.batches import placement
 from kingcupscale.batches import sample as samples
 from kingcupscale.batches import sendguard
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
 
 # Time limits of the connection and of the whole run.
@@ -76,7 +76,9 @@
         self.event_s = 0.0
         self.event_tokens = DEFAULT_EVENT_TOKENS
 
-    async def run(self, sample: samples.Sample, server: roster.Server) -> bool:
+    async def run(
+        self, sample: samples.Sample, server: registry.Server
+    ) -> bool:
         """Runs a sample once on an engine.
 
         Returns:
@@ -102,7 +104,7 @@
             self._postpone(sample, BLOCKED_PAUSE_S)
         except serverclient.ServerError as e:
             outcome = f"request failed: {e.reason}"
-            server.note_failure(self.clock.monotonic())
+            server.record_failure(self.clock.monotonic())
             self._postpone(sample, FAILED_PAUSE_S)
         finally:
             self._log_run(
@@ -110,13 +112,13 @@
             )
         if outcome != "whole":
             return False
-        server.note_success()
+        server.record_success()
         self._update_averages(sample, server, started_at, before)
         return True
 
     @contextlib.asynccontextmanager
     async def _open_request(
-        self, server: roster.Server, call: serverclient.Call
+        self, server: registry.Server, call: serverclient.Call
     ) -> AsyncIterator[serverclient.Answer]:
         """Sends a request and waits for the response headers.
 
@@ -156,13 +158,13 @@
     async def _read_answer(
         self,
         sample: samples.Sample,
-        server: roster.Server,
+        server: registry.Server,
         answer: serverclient.Answer,
     ) -> str:
         """Reads a response; returns "whole" or why the text is incomplete."""
         now = self.clock.monotonic()
         if answer.load is not None:
-            server.note_load(answer.load, now)
+            server.update_load(answer.load, now)
         if answer.not_run:
             await self._handle_rejection(sample, server, answer)
             return f"rejected without running, status {answer.status}"
@@ -177,20 +179,20 @@
     async def _handle_rejection(
         self,
         sample: samples.Sample,
-        server: roster.Server,
+        server: registry.Server,
         answer: serverclient.Answer,
     ) -> None:
         now = self.clock.monotonic()
         model = sample.record.batch.model
         if not answer.wrong_server:
-            server.closed[model] = now + REJECTED_PAUSE_S
+            server.no_samples_until[model] = now + REJECTED_PAUSE_S
         elif answer.version:
             server.versions[model] = answer.version
         else:
             # The address may belong to another server by now, or the engine
             # may have other weights than this node knows. Its report tells
             # which of the two it is.
-            server.note_failure(now)
+            server.record_failure(now)
             report = await self.client.report(server)
             server.versions.update(report.versions)
 
@@ -206,7 +208,7 @@
     async def _read_events(
         self,
         sample: samples.Sample,
-        server: roster.Server,
+        server: registry.Server,
         answer: serverclient.Answer,
     ) -> str:
         stream = self.client.events(answer)
@@ -238,7 +240,7 @@
                     )
 
     def _idle_timeout_s(
-        self, sample: samples.Sample, server: roster.Server
+        self, sample: samples.Sample, server: registry.Server
     ) -> float:
         is_loading = server.loading_until > self.clock.monotonic()
         base_s = LOADING_IDLE_TIMEOUT_S if is_loading else IDLE_TIMEOUT_S
@@ -250,7 +252,7 @@
     def _update_averages(
         self,
         sample: samples.Sample,
-        server: roster.Server,
+        server: registry.Server,
         started_at: float,
         before: int,
     ) -> None:
@@ -266,12 +268,14 @@
             self.token_s += AVERAGE_WEIGHT * (token_s - self.token_s)
         self.event_s = self.event_s or elapsed_s / generated
         self.event_s += AVERAGE_WEIGHT * (elapsed_s / generated - self.event_s)
-        server.note_pace(elapsed_s / generated / max(1e-6, self.event_s))
+        server.update_relative_latency(
+            elapsed_s / generated / max(1e-6, self.event_s)
+        )
 
     def _log_run(
         self,
         sample: samples.Sample,
-        server: roster.Server,
+        server: registry.Server,
         outcome: str,
         started_at: float,
         before: int,
--- a/src/kingcupscale/batches/placement.py
+++ b/src/kingcupscale/batches/placement.py
@@ -13,7 +13,7 @@
 import attrs
 
 from kingcupscale.batches import sample
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 
 # Seconds per token that are assumed until a run has been measured.
 DEFAULT_TOKEN_S = 0.001
@@ -31,7 +31,7 @@
     """A sample and the engine it is assigned to."""
 
     sample: sample.Sample
-    server: roster.Server
+    server: registry.Server
 
 
 def slack_s(waiting: sample.Sample, now_ms: int, token_s: float) -> float:
@@ -49,19 +49,21 @@
     return waiting.route.due_s - age_s - expected_s + priority_s
 
 
-def can_run(waiting: sample.Sample, server: roster.Server, now: float) -> bool:
+def can_run(
+    waiting: sample.Sample, server: registry.Server, now: float
+) -> bool:
     """Tells whether an engine has a weight version that a sample accepts.
 
     An engine that is loading weights for the sample's model can't run it.
     """
     batch = waiting.record.batch
     version = server.versions.get(batch.model, 0)
-    is_open = server.closed.get(batch.model, 0.0) <= now
+    is_open = server.no_samples_until.get(batch.model, 0.0) <= now
     return is_open and version >= batch.minimum_version
 
 
 def completion_cost(
-    server: roster.Server, now: float, has_prompt: bool
+    server: registry.Server, now: float, has_prompt: bool
 ) -> float:
     """Returns a relative estimate of when an engine would finish a sample.
 
@@ -71,7 +73,7 @@
         has_prompt: Whether its prefix cache holds the group's prompt.
     """
     others = server.load(now)
-    cost = server.pace * (1 + SLOWDOWN_PER_REQUEST * others)
+    cost = server.relative_latency * (1 + SLOWDOWN_PER_REQUEST * others)
     queue = max(0.0, others + 1 - server.entry.slots)
     cost += queue / max(1, server.entry.slots)
     if has_prompt:
@@ -81,7 +83,7 @@
 
 def place_by_slack(
     waiting: Iterable[sample.Sample],
-    servers: list[roster.Server],
+    servers: list[registry.Server],
     prompt_holders: dict[str, set[str]],
     now: float,
     now_ms: int,
@@ -124,7 +126,7 @@
 
 def place_first(
     waiting: Iterable[sample.Sample],
-    servers: list[roster.Server],
+    servers: list[registry.Server],
     now: float,
 ) -> Assignment | None:
     """Returns the first possible assignment.
--- a/src/kingcupscale/batches/weights.py
+++ b/src/kingcupscale/batches/weights.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 
 # Engines of a model, as a multiple of an even share of all engines. With more,
 # a model would have more engines left after a loss, but each engine would load
@@ -28,7 +28,7 @@
 class Load:
     """A version of a model that an engine has to load."""
 
-    server: roster.Server
+    server: registry.Server
     model: str
     version: int
 
@@ -40,7 +40,7 @@
 
 
 def assign(
-    servers: list[roster.Server],
+    servers: list[registry.Server],
     targets: dict[str, int],
     current: dict[str, set[str]],
 ) -> dict[str, set[str]]:
@@ -83,7 +83,7 @@
 
 
 def choose_loads(
-    servers: list[roster.Server],
+    servers: list[registry.Server],
     targets: dict[str, int],
     assigned: dict[str, set[str]],
     allowed_lag: int,
@@ -126,8 +126,8 @@
 
 
 def _engines_to_load(
-    holders: list[roster.Server], model: str, newest: int, allowed_lag: int
-) -> list[roster.Server]:
+    holders: list[registry.Server], model: str, newest: int, allowed_lag: int
+) -> list[registry.Server]:
     """Returns the engines to load the newest version, the oldest first."""
     oldest = newest - allowed_lag
     by_version = sorted(
@@ -143,7 +143,9 @@
 
 
 def choose_all(
-    servers: Iterable[roster.Server], targets: dict[str, int], loading: set[str]
+    servers: Iterable[registry.Server],
+    targets: dict[str, int],
+    loading: set[str],
 ) -> list[Load]:
     """Returns loads of every version on every engine.
 
