--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -365,7 +365,7 @@
     Break(
         "samples go on at once when their node is stopped",
         "leadership.py",
-        "if holder == self.taken_from and now < self.taken_until:",
+        "if holder == self.takeover_source and now < self.takeover_until:",
         "if False:",
         SITE + "test_lifecycle.RollingStopTest",
     ),
--- a/src/kingcupscale/candidates.py
+++ b/src/kingcupscale/candidates.py
@@ -1,4 +1,4 @@
-"""Which of the nodes is preferred for a duty."""
+"""Ranks the nodes as candidates for each duty."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -11,10 +11,12 @@
 
 
 class Candidates:
-    """The nodes that take part, ranked anew for each duty.
+    """The registered nodes, ranked by rendezvous hashing for each duty.
+
+    Rankings are cached and recomputed when a node or a duty's holder changes.
 
     Args:
-        feed: The mirror that tells of the nodes.
+        feed: The local replica of the store, with the nodes' entries.
         node: This node's name.
     """
 
@@ -23,39 +25,39 @@
         self.node = node
         self.rankings: dict[str, list[str]] = {}
         self.idle_rankings: dict[str, list[str]] = {}
-        self.known: list[str] | None = None
-        self.known_holders: dict[str, str] | None = None
-        feed.subscribe(tenures.NODES_PREFIX, self._take_node)
-        feed.subscribe(tenures.DUTIES_PREFIX, self._take_duty)
+        self.cached_names: list[str] | None = None
+        self.cached_holders: dict[str, str] | None = None
+        feed.subscribe(tenures.NODES_PREFIX, self._on_node_changed)
+        feed.subscribe(tenures.DUTIES_PREFIX, self._on_duty_changed)
 
     def names(self) -> list[str]:
-        """Returns the nodes that take part, this one included."""
-        if self.known is None:
-            self.known = [
+        """Returns the names of the registered nodes, including this one."""
+        if self.cached_names is None:
+            self.cached_names = [
                 entry.key.removeprefix(tenures.NODES_PREFIX)
                 for entry in self.feed.under(tenures.NODES_PREFIX)
             ]
-        return self.known
+        return self.cached_names
 
     def holders(self) -> dict[str, str]:
-        """Returns the nodes that hold duties, by duty."""
-        if self.known_holders is None:
-            self.known_holders = {
+        """Returns the node that holds each duty, by name of the duty."""
+        if self.cached_holders is None:
+            self.cached_holders = {
                 entry.key.removeprefix(tenures.DUTIES_PREFIX): (
                     (entry.value or b"").decode().partition(" ")[0]
                 )
                 for entry in self.feed.under(tenures.DUTIES_PREFIX)
             }
-        return self.known_holders
+        return self.cached_holders
 
     def ranking(self, duty: str) -> list[str]:
-        """Returns the candidates for a duty, the preferred one first."""
+        """Returns the candidates for a duty, best first."""
         if duty not in self.rankings:
             self.rankings[duty] = rendezvous.rank(duty, self.names())
         return self.rankings[duty]
 
     def idle_ranking(self, duty: str) -> list[str]:
-        """Returns the candidates, those that hold another duty last."""
+        """Returns the candidates with nodes that hold another duty last."""
         if duty not in self.idle_rankings:
             busy = {
                 node for held, node in self.holders().items() if held != duty
@@ -65,22 +67,22 @@
             )
         return self.idle_rankings[duty]
 
-    def place(self, ranking: Sequence[str]) -> int:
-        """Returns this node's place in a ranking; behind all if not in it."""
+    def position(self, ranking: Sequence[str]) -> int:
+        """Returns this node's index in a ranking, its length if missing."""
         if self.node in ranking:
             return ranking.index(self.node)
         return len(ranking)
 
-    def _take_node(self, entry: stores.Entry) -> None:
-        """Has the candidates ranked anew."""
+    def _on_node_changed(self, entry: stores.Entry) -> None:
+        """Clears all cached rankings."""
         self.rankings.clear()
         self.idle_rankings.clear()
-        self.known = None
+        self.cached_names = None
 
-    def _take_duty(self, entry: stores.Entry) -> None:
-        """Has the idle candidates ranked anew."""
+    def _on_duty_changed(self, entry: stores.Entry) -> None:
+        """Clears the cached rankings that depend on duties."""
         self.idle_rankings.clear()
-        self.known_holders = None
+        self.cached_holders = None
 
 
 def find_surplus_duty(
@@ -89,15 +91,16 @@
     node: str,
     candidates: Iterable[str],
 ) -> str:
-    """Returns the duty that a node gives to an idle one; empty for none.
+    """Returns the duty that a node should transfer to a node without a duty.
 
-    While one of the duties is free, some node is about to take it.
+    Empty if there is none. While one of the duties has no holder, nothing is
+    transferred, because some node is about to acquire it.
 
     Args:
-        duties: The duties that are to be spread, the ones to keep first.
-        holders: The nodes that hold these and other duties, by duty.
-        node: The node.
-        candidates: The nodes that take part.
+        duties: The duties to distribute, those to keep first.
+        holders: The holders of these and other duties, by duty.
+        node: The node that may transfer a duty.
+        candidates: The registered nodes.
     """
     if not all(holders.get(duty) for duty in duties):
         return ""
--- a/src/kingcupscale/clusterstate.py
+++ b/src/kingcupscale/clusterstate.py
@@ -1,4 +1,4 @@
-"""What operators, servers and trainers have written, as one node knows it."""
+"""The cluster's state as one node has read it from the store."""
 
 import functools
 
@@ -12,19 +12,21 @@
 
 
 class ClusterState:
-    """Follows the configuration, the servers' entries and named versions.
+    """Keeps the configuration, backend servers and target weight versions.
 
-    What makes no sense is logged and changes nothing; nothing goes back.
+    It applies entries from the store as they change. An entry that cannot be
+    decoded is logged and ignored. A configuration or a target version older
+    than the present one is ignored too.
 
     Args:
-        feed: The mirror of the store.
-        servers: Takes over the servers' entries.
-        keys: Where each of it is written.
-        decoders: How it is read.
+        feed: The local replica of the store.
+        servers: Receives the backend servers' entries.
+        keys: Keys and key prefixes of the entries.
+        decoders: Decode the entries' values.
 
     Attributes:
         catalogue: The configuration in force; None before the first.
-        target_versions: Newest weight version by model.
+        target_versions: Newest weight version that a trainer set, by model.
     """
 
     def __init__(
@@ -39,11 +41,11 @@
         self.decoders = decoders
         self.catalogue: catalogue.Catalogue | None = None
         self.target_versions: dict[str, int] = {}
-        feed.subscribe(keys.configuration, self._take_configuration)
-        feed.subscribe(keys.servers, self._take_server)
-        feed.subscribe(keys.versions, self._take_version)
+        feed.subscribe(keys.configuration, self._apply_configuration)
+        feed.subscribe(keys.servers, self._apply_server)
+        feed.subscribe(keys.versions, self._apply_target_version)
 
-    def _take_configuration(self, entry: stores.Entry) -> None:
+    def _apply_configuration(self, entry: stores.Entry) -> None:
         if entry.value is None:
             return
         found = entries.read(entry, self.decoders.catalogue)
@@ -57,7 +59,7 @@
             organisations=len(found.organisations),
         )
 
-    def _take_server(self, entry: stores.Entry) -> None:
+    def _apply_server(self, entry: stores.Entry) -> None:
         server_id = entry.key.removeprefix(self.keys.servers)
         if entry.value is None:
             self.servers.remove(server_id)
@@ -67,7 +69,7 @@
         if found is not None:
             self.servers.enter(found)
 
-    def _take_version(self, entry: stores.Entry) -> None:
+    def _apply_target_version(self, entry: stores.Entry) -> None:
         if entry.value is None:
             return
         found = entries.read(entry, self.decoders.target_version)
--- a/src/kingcupscale/dependencies.py
+++ b/src/kingcupscale/dependencies.py
@@ -1,4 +1,4 @@
-"""What a node on the platform reaches the world by."""
+"""The external dependencies that are injected into a node."""
 
 from collections.abc import Callable
 import random
@@ -21,14 +21,14 @@
 
 @attrs.frozen
 class Keys:
-    """Where operators and servers write in the store.
+    """Keys and key prefixes of the platform's entries in the store.
 
     Attributes:
-        configuration: The configuration's key.
-        servers: Prefix of the servers' entries.
-        versions: Prefix of the versions that trainers name.
-        retirements: Prefix of requests to empty a VM.
-        retirement_states: Prefix of the answers to them.
+        configuration: Key of the configuration.
+        servers: Prefix of the backend servers' entries.
+        versions: Prefix of the target weight versions that trainers set.
+        retirements: Prefix of requests to retire a VM.
+        retirement_states: Prefix of the responses to these requests.
     """
 
     configuration: str
@@ -40,7 +40,16 @@
 
 @attrs.frozen
 class Decoders:
-    """How what they write is read; each raises ``ValueError``."""
+    """Functions that decode and encode the values under ``Keys``.
+
+    Decoding raises ``ValueError`` for an invalid value.
+
+    Attributes:
+        catalogue: Decodes the configuration.
+        server: Decodes a backend server's entry, given the server's id.
+        target_version: Decodes a model and its target weight version.
+        retirement_state: Encodes the state of a VM's retirement.
+    """
 
     catalogue: Callable[[bytes], catalogue.Catalogue]
     server: Callable[[str, bytes], roster.ServerEntry]
@@ -50,22 +59,22 @@
 
 @attrs.frozen
 class Dependencies:
-    """What a node reaches the world by.
+    """The clients and utilities that a node uses, replaceable in tests.
 
     Attributes:
-        store: The shared store.
-        servers: Calls backend servers.
-        intake: Takes usage reports.
-        provider: Takes orders for servers.
-        clock: Tells the time.
-        rng: Decides among equals.
-        relay: Asks other nodes for changes.
-        commits: Has other nodes write to the store.
-        copies: Sends texts on their way to other nodes.
-        loads: Tells other nodes what engines load.
-        counts: Tells the node that reports usage what was counted.
-        keys: Where operators and servers write.
-        decoders: How that is read.
+        store: Client of the shared store.
+        servers: Client of the backend servers.
+        intake: Receives usage reports.
+        provider: Receives orders for servers.
+        clock: Source of time.
+        rng: Breaks ties at random.
+        relay: Reads changes of the store from other nodes.
+        commits: Writes to the store through other nodes.
+        copies: Sends copies of unfinished texts to other nodes.
+        loads: Sends the state of engines' weight loads to other nodes.
+        counts: Sends usage counts to the node that reports usage.
+        keys: Keys of the platform's entries in the store.
+        decoders: Decode these entries.
     """
 
     store: stores.Store
--- a/src/kingcupscale/leadership.py
+++ b/src/kingcupscale/leadership.py
@@ -1,4 +1,9 @@
-"""A node's part in leading services and running their models' samples."""
+"""Duties: roles that one node holds at a time, elected by leases in the store.
+
+A ``ServiceDuty`` makes a node the leader of a service: it sends load orders to
+the service's engines and orders servers. A ``ModelDuty`` makes a node run the
+samples of one model on these engines.
+"""
 
 from typing import TYPE_CHECKING
 
@@ -19,29 +24,32 @@
 if TYPE_CHECKING:
     from kingcupscale import runtime as runtimes
 
-DUTY_PAUSE_S = 0.2
-HOLDER_PAUSE_S = 0.1
-# A batch is kept this much longer than it has to be readable.
-RETENTION_SLACK_S = 60.0
-FORGET_PAUSE_S = 5.0
-# With fewer nodes, the one that leads a service runs all of its models: it
-# then knows every sample on the engines. One node can't carry larger fleets'.
+DUTY_INTERVAL_S = 0.2
+HOLDER_CHECK_INTERVAL_S = 0.1
+# A batch is stored this much longer than it must stay readable.
+RETENTION_MARGIN_S = 60.0
+RETENTION_INTERVAL_S = 5.0
+# With fewer nodes, the leader of a service runs all of its models, so that it
+# knows every sample on the engines. One node cannot carry the load of a larger
+# fleet, so there the duties are distributed.
 MIN_NODES_TO_DISTRIBUTE = 8
-# A node that has stopped running samples gives its lease back within this
-# time, also to a slow store.
+# A node that has stopped running samples releases its lease within this time,
+# even if the store is slow.
 TAKEOVER_S = 3.0
-# The node that runs samples sends a copy every 0.3 s; one that missed two is
-# asked whether it lives, and this often again.
-OVERDUE_S = 0.8
-PROBE_PAUSE_S = 0.3
+# The node that runs samples sends a copy of their texts every 0.3 s. After two
+# missed copies the node is probed, then again at this interval.
+COPY_TIMEOUT_S = 0.8
+PROBE_INTERVAL_S = 0.3
 
 
 class ServiceDuty:
-    """Giving one service's engines orders, and ordering engines.
+    """Leadership of one service: load orders to its engines, and scaling.
+
+    Every node has one of these per service, also while it is not the leader.
 
     Args:
         runtime: The node.
-        service: The service.
+        service: Name of the service.
     """
 
     def __init__(self, runtime: "runtimes.Runtime", service: str) -> None:
@@ -69,7 +77,7 @@
             runtime.cluster_state.target_versions,
             deps.clock,
             runtime.current_catalogue,
-            self._tell,
+            self._publish_load_state,
         )
         self.sizer = fleetsize.Sizer(
             self.tenure,
@@ -81,10 +89,10 @@
         )
         self.nursery: trio.Nursery | None = None
         self.retention = retention.Retention(runtime.book, deps.clock)
-        self.forgot_at = 0.0
+        self.retention_ran_at = 0.0
 
     async def run(self) -> None:
-        """Contends for the service and leads it while held."""
+        """Campaigns for the duty, and leads the service while holding it."""
         async with trio.open_nursery() as nursery:
             self.nursery = nursery
             nursery.start_soon(self.coordinator.run)
@@ -93,66 +101,72 @@
                 await self.loader.step(nursery)
                 if self.runtime.settings.orders_servers:
                     await self.sizer.step()
-                await self._forget_old_batches()
+                await self._delete_expired_batches()
 
             await tenures.hold(
                 self.tenure,
                 work,
                 lambda: rank(self.runtime, self.tenure.name),
-                DUTY_PAUSE_S,
+                DUTY_INTERVAL_S,
             )
 
-    async def _forget_old_batches(self) -> None:
+    async def _delete_expired_batches(self) -> None:
         now = self.runtime.clock.monotonic()
-        if now - self.forgot_at < FORGET_PAUSE_S:
+        if now - self.retention_ran_at < RETENTION_INTERVAL_S:
             return
-        self.forgot_at = now
+        self.retention_ran_at = now
         retention_s = self.runtime.settings.bounds.retention_s
-        await self.retention.forget_older_than(retention_s + RETENTION_SLACK_S)
+        await self.retention.forget_older_than(retention_s + RETENTION_MARGIN_S)
 
-    def _tell(self, state: loads.LoadState) -> None:
-        """Takes over a load's state and passes it on to the model's node."""
+    def _publish_load_state(self, state: loads.LoadState) -> None:
+        """Applies a load's state here and sends it to the model's node."""
         self.runtime.apply_load_state(state)
         peers = self.runtime.peers
         holder = peers.holder(model_duty_name(self.service, state.model))
         address = peers.addresses().get(holder)
         if address and self.nursery is not None:
-            self.nursery.start_soon(self._send, address, state)
+            self.nursery.start_soon(self._send_load_state, address, state)
 
-    async def _send(self, address: str, state: loads.LoadState) -> None:
+    async def _send_load_state(
+        self, address: str, state: loads.LoadState
+    ) -> None:
         try:
             await self.runtime.dependencies.loads.send(address, state)
         except calls.PeerError as e:
-            # The engine's own entry and its refusals tell the same, later.
+            # The node learns the same later, from the engine's entry in the
+            # store and from the requests that the engine refuses.
             events.log(events.Event.PEER_SILENT, address=address, reason=str(e))
 
 
 def is_small_fleet(runtime: "runtimes.Runtime") -> bool:
-    """Tells whether one node can run all models of a service."""
+    """Returns whether one node can run all models of a service."""
     return len(runtime.candidates.names()) < MIN_NODES_TO_DISTRIBUTE
 
 
 def rank(runtime: "runtimes.Runtime", duty: str) -> int:
-    """Returns this node's place among the candidates for a duty."""
-    found = runtime.candidates
+    """Returns this node's position among the candidates for a duty."""
+    nodes = runtime.candidates
     is_small = is_small_fleet(runtime)
-    return found.place(
-        found.ranking(duty) if is_small else found.idle_ranking(duty)
+    return nodes.position(
+        nodes.ranking(duty) if is_small else nodes.idle_ranking(duty)
     )
 
 
 def model_duty_name(service: str, model: str) -> str:
-    """Returns the name of the duty of running a model's samples."""
+    """Returns the name of the duty to run a model's samples."""
     return f"{service}/{model}"
 
 
 class ModelDuty:
-    """Running one model's samples on one service's engines.
+    """Running the samples of one model on the engines of one service.
+
+    Every node has one of these per model. It campaigns for the duty, and also
+    runs the samples without holding it when their node fails or hands over.
 
     Args:
         runtime: The node.
-        leader: This node's part in leading the service.
-        model: The model.
+        leader: This node's duty for the service.
+        model: Name of the model.
     """
 
     def __init__(
@@ -164,11 +178,11 @@
         self.service = leader.service
         self.model = model
         self.coordinator = leader.coordinator
-        self.taken_from = ""
-        self.taken_until = 0.0
-        self.heard_from = ""
-        self.heard_at = 0.0
-        self.probed_at = 0.0
+        self.takeover_source = ""
+        self.takeover_until = 0.0
+        self.last_copy_from = ""
+        self.last_copy_at = 0.0
+        self.last_probe_at = 0.0
         self.tenure = tenures.Tenure(
             model_duty_name(leader.service, model),
             runtime.session,
@@ -186,7 +200,11 @@
         )
 
     def needs_batches(self) -> bool:
-        """Tells whether this node runs the model's batches, or would next."""
+        """Returns whether this node must keep the model's batches.
+
+        It does while it runs them, has unlisted samples of them, or is the
+        first candidate to run them next.
+        """
         node = self.runtime.settings.node
         holder = self.runtime.peers.holder(self.tenure.name)
         others = [name for name in self._ranking() if name != holder]
@@ -198,64 +216,75 @@
         )
 
     async def hand_over(self) -> None:
-        """Has the next node go on with the samples and stops running them."""
+        """Hands the samples over to the next node and stops running them."""
         if self.coordinator.is_active(self.model):
             await self.copier.hand_over()
         self.coordinator.set_active(self.model, False)
 
     def take_over(self, sender: str) -> None:
-        """Goes on with the samples of a node that stops running them.
+        """Continues the samples of a node that stops running them.
 
-        Its lease may last a moment longer: running samples needs none.
+        The sender may still hold the duty's lease for a moment. Running
+        samples needs no lease.
         """
-        self.taken_from = sender
-        self.taken_until = self.runtime.clock.monotonic() + TAKEOVER_S
+        self.takeover_source = sender
+        self.takeover_until = self.runtime.clock.monotonic() + TAKEOVER_S
         self.coordinator.set_active(self.model, True)
 
-    def note_heard(self, sender: str) -> None:
-        """Notes that the node that runs the samples has sent a copy."""
+    def record_copy(self, sender: str) -> None:
+        """Records that the node that runs the samples has sent a copy."""
         self.runtime.peers.note_heard(sender)
-        self.heard_from = sender
-        self.heard_at = self.runtime.clock.monotonic()
+        self.last_copy_from = sender
+        self.last_copy_at = self.runtime.clock.monotonic()
 
     def _is_overdue(self, holder: str) -> bool:
-        """Tells whether a copy of the samples' texts should have come."""
+        """Returns whether the holder missed copies and is due for a probe."""
         now = self.runtime.clock.monotonic()
-        if holder != self.heard_from or now - self.heard_at <= OVERDUE_S:
+        if (
+            holder != self.last_copy_from
+            or now - self.last_copy_at <= COPY_TIMEOUT_S
+        ):
             return False
-        return now - self.probed_at > PROBE_PAUSE_S and any(
+        return now - self.last_probe_at > PROBE_INTERVAL_S and any(
             record.is_open() and record.batch.model == self.model
             for record in self.runtime.book.records.values()
         )
 
     def _find_successor(self) -> tuple[str, str] | None:
-        """Returns the node that runs the samples next, if not this one."""
-        peers_known = self.runtime.peers
-        holder = peers_known.holder(self.tenure.name)
+        """Returns name and address of the node to run the samples next.
+
+        None if there is no other node.
+        """
+        peers = self.runtime.peers
+        holder = peers.holder(self.tenure.name)
         ranking = self._ranking()
         if holder and not self.tenure.is_held():
             ranking = [holder, *ranking]
-        return peers_known.successor(ranking)
+        return peers.successor(ranking)
 
     async def run(self) -> None:
-        """Contends for the model and runs its samples while held."""
+        """Campaigns for the duty, and runs the samples while holding it."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._watch_holder)
+            nursery.start_soon(self._monitor_holder)
             nursery.start_soon(self.copier.run)
             await tenures.hold(
-                self.tenure, self._do_nothing, self._rank, DUTY_PAUSE_S
+                self.tenure, self._do_nothing, self._rank, DUTY_INTERVAL_S
             )
 
     async def _do_nothing(self) -> None:
-        """Holding the duty is enough; the samples run by themselves."""
+        """Does nothing: the coordinator runs the samples in its own task."""
 
     def _rank(self) -> int:
-        """Prefers the node that runs the samples, then ones without duty."""
+        """Returns this node's position among the candidates.
+
+        The node that runs the samples is preferred, then, in a small fleet,
+        the service's leader, then nodes without another duty.
+        """
         if self.coordinator.is_active(self.model):
             return 0
         if is_small_fleet(self.runtime) and self.leader.tenure.is_held():
             return 0
-        return 1 + self.runtime.candidates.place(self._ranking())
+        return 1 + self.runtime.candidates.position(self._ranking())
 
     def _ranking(self) -> list[str]:
         """Returns the candidates, the preferred one first."""
@@ -264,23 +293,24 @@
         return self.runtime.candidates.idle_ranking(self.tenure.name)
 
     def _is_surplus(self) -> bool:
-        """Tells whether an idle node of a large fleet is to run the samples.
+        """Returns whether this duty should move to a node without a duty.
 
-        Nodes that start first find a small fleet and take all duties.
+        The nodes of a large fleet that start first see a small fleet and take
+        all duties, which are distributed once the others have started.
         """
         if is_small_fleet(self.runtime) or self.runtime.feed.is_lost:
             return False
-        found = self.runtime.candidates
+        nodes = self.runtime.candidates
         surplus = candidates.find_surplus_duty(
             [*self.runtime.services, *self.runtime.models],
-            found.holders(),
-            found.node,
-            found.names(),
+            nodes.holders(),
+            nodes.node,
+            nodes.names(),
         )
         return surplus == self.tenure.name
 
-    async def _pass_on(self) -> None:
-        """Has an idle node go on with the samples and take the duty."""
+    async def _transfer(self) -> None:
+        """Transfers the samples and the duty to a node without a duty."""
         target = self._find_successor()
         holders = self.runtime.candidates.holders()
         if target is None or target[0] in holders.values():
@@ -297,37 +327,40 @@
                 reason=e.reason,
             )
 
-    async def _watch_holder(self) -> None:
-        """Runs samples while holding the duty, or for a silent holder.
+    async def _monitor_holder(self) -> None:
+        """Runs samples while holding the duty, or when its holder has failed.
 
-        A planned stop hands them over, and none are taken up from then on.
+        A planned stop hands the samples over; this node then starts no others.
         """
         while not self.runtime.is_draining:
             holder = self.runtime.peers.holder(self.tenure.name)
             if self.tenure.is_held():
                 self.coordinator.set_active(self.model, True)
                 if self._is_surplus():
-                    await self._pass_on()
+                    await self._transfer()
             elif holder and holder != self.runtime.settings.node:
                 if self._is_overdue(holder):
                     await self.runtime.peers.probe(holder)
-                    self.probed_at = self.runtime.clock.monotonic()
-                await self._follow_holder(holder)
-            await self.runtime.clock.rest(HOLDER_PAUSE_S)
+                    self.last_probe_at = self.runtime.clock.monotonic()
+                await self._start_or_stop(holder)
+            await self.runtime.clock.rest(HOLDER_CHECK_INTERVAL_S)
 
-    async def _follow_holder(self, holder: str) -> None:
-        if self._stands_in_for(holder):
+    async def _start_or_stop(self, holder: str) -> None:
+        """Runs the samples if the holder cannot, and stops them otherwise."""
+        if self._should_run_for(holder):
             self.coordinator.set_active(self.model, True)
         elif self.coordinator.is_active(self.model):
             await self.hand_over()
 
-    def _stands_in_for(self, holder: str) -> bool:
-        """Tells whether this node runs the samples of a silent holder.
+    def _should_run_for(self, holder: str) -> bool:
+        """Returns whether this node runs samples in place of the duty's holder.
 
-        Items may run twice, so this needs no lease; orders do.
+        It does after a handover, and if the holder does not answer and this
+        node is the first candidate that does. No lease is needed, because an
+        item may run twice; orders to engines do need one.
         """
         now = self.runtime.clock.monotonic()
-        if holder == self.taken_from and now < self.taken_until:
+        if holder == self.takeover_source and now < self.takeover_until:
             return True
         if not self.runtime.peers.is_silent(holder):
             return False
--- a/src/kingcupscale/readiness.py
+++ b/src/kingcupscale/readiness.py
@@ -1,4 +1,4 @@
-"""Whether a node may take work, by what it knows."""
+"""Decides whether a node may accept requests."""
 
 from collections.abc import Callable
 
@@ -9,21 +9,22 @@
 from kingcupscale.fleet import peers
 from kingcupscale.storage import feed as feeds
 
-# Other nodes are likely to take what this one refuses.
+# Short, because another node is likely to accept what this one refuses.
 RETRY_AFTER_S = 0.5
-# Share of the time within which a configuration must be in force, for which a
-# view of it justifies a refusal; a view grows older while it is judged.
-VIEW_SHARE = 0.9
+# A configuration must be in force within ``apply_s``. A node refuses requests
+# by its configuration only up to this share of that time after the last
+# update, because the configuration ages further during the check.
+MAX_AGE_SHARE = 0.9
 
 
 class Readiness:
-    """Tells why a node takes nothing, if it does not.
+    """Checks whether a node accepts requests and may refuse any.
 
     Args:
-        feed: The mirror of the store.
+        feed: The local replica of the store.
         others: The other nodes.
-        clock: Tells the time.
-        bounds: Within which time a change is in force.
+        clock: Source of time.
+        bounds: Time limits, such as for applying a configuration.
         current_catalogue: Returns the configuration in force.
     """
 
@@ -42,7 +43,7 @@
         self.current_catalogue = current_catalogue
 
     def admission_error(self) -> errors.ServiceError | None:
-        """Returns why the node takes nothing now, or None."""
+        """Returns the error if the node accepts no requests, or None."""
         if self.current_catalogue() is None:
             code = errors.ResultCode.NOT_READY
         elif self.is_isolated():
@@ -52,25 +53,27 @@
         return errors.ServiceError(code, retry_after_s=RETRY_AFTER_S)
 
     def staleness_error(self) -> errors.ServiceError | None:
-        """Returns why the configuration justifies no refusal now, or None.
+        """Returns the error if the configuration may be out of date, or None.
 
-        A newer one may allow what this one does not. What this one allows is
-        served all the same: an outage of the store makes all nodes old.
+        A request that such a configuration forbids ends with this error, since
+        a newer configuration may allow it. Requests that it allows are still
+        served: in an outage of the store, every node's configuration is old.
         """
         age_s = self.feed.head_age_s()
-        if age_s <= VIEW_SHARE * self.bounds.apply_s:
+        if age_s <= MAX_AGE_SHARE * self.bounds.apply_s:
             return None
         return errors.ServiceError(
             errors.ResultCode.CONFIGURATION_OLD,
-            f"The node's configuration is as of {age_s:.1f} s ago.",
+            f"The node last updated its configuration {age_s:.1f} s ago.",
             retry_after_s=RETRY_AFTER_S,
         )
 
     def is_isolated(self) -> bool:
-        """Tells whether a withdrawn key might still be taken for good here.
+        """Returns whether this node might still accept a withdrawn key.
 
-        While no node reaches the store, nothing changes there either; a node
-        that hears from no other one can't know that.
+        That is so if it has reached neither the store nor another node for too
+        long. While no node at all reaches the store, no key is withdrawn, but
+        a node needs contact with other nodes to know that.
         """
         in_force_s = self.bounds.apply_s + self.bounds.apply_stretch_s
         if self.feed.head_age_s() <= in_force_s:
--- a/src/kingcupscale/retirements.py
+++ b/src/kingcupscale/retirements.py
@@ -1,4 +1,4 @@
-"""Answering operators who want to take a VM away."""
+"""Responds to operators' requests to retire a VM."""
 
 from collections.abc import Callable
 
@@ -9,15 +9,15 @@
 
 
 class Retirements:
-    """Answers requests to empty a VM.
+    """Responds to requests to retire a VM.
 
-    VMs hold nothing that would have to be moved off them first, so that each
-    request is answered at once.
+    VMs hold no data that would have to be moved first, so each request is
+    confirmed at once.
 
     Args:
-        feed: Where requests and answers are seen.
-        keys: Where they are written.
-        encode: Returns an answer by its word.
+        feed: The local replica of the store, with requests and responses.
+        keys: Key prefixes of requests and responses.
+        encode: Encodes the state of a retirement.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         self.done = encode("done")
 
     async def answer(self) -> None:
-        """Answers the requests that have no answer yet.
+        """Responds to the requests that have no response yet.
 
         Raises:
             StoreError: If the store cannot be reached.
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -223,7 +223,7 @@
             leadership.model_duty_name(copy.service, copy.model)
         )
         if model is not None:
-            model.note_heard(copy.sender)
+            model.record_copy(copy.sender)
         if not fits:
             return message.Response(handover.STATUS_MISFIT)
         if not copy.is_last:
