--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -1,4 +1,4 @@
-"""A node on the platform: its parts wired together, and its lifecycle."""
+"""A node of the service: wires its components and runs its lifecycle."""
 
 from collections.abc import Iterable
 
@@ -40,40 +40,44 @@
 from kingcupscale.web import limits
 from kingcupscale.web import message
 
-# Pause between two watches of a node that leads a service.
-LEADER_PAUSE_S = 0.1
-# A followed mirror costs little, so a node whose readers or samples wait for
-# news asks at once again.
-NEEDED_PAUSE_S = 0.02
-LEAD_PAUSE_S = 0.2
-# Share of the time within which holders must not take turns; a shorter lease
-# is sooner taken over.
+# Between two polls of the store by a node that leads a service.
+LEADER_POLL_INTERVAL_S = 0.1
+# Reading changes from another node is cheap, so a node with waiting readers or
+# running samples polls again almost at once.
+ACTIVE_POLL_INTERVAL_S = 0.02
+ELECTION_INTERVAL_S = 0.2
+# Lease length as a share of ``lease_s``, the time within which a duty must not
+# have two holders. A shorter lease is taken over sooner.
 LEASE_SHARE = 0.7
-# A node that holds nothing may stay entered for this many leases after its
-# end: whoever asks it notices sooner.
+# The entry of a node without duties may outlive the node by this many leases,
+# because other nodes notice sooner that it no longer answers.
 PRESENCE_LEASES = 4
-SWEEP_PAUSE_S = 0.25
-WANT_PAUSE_S = 0.1
-USAGE_PAUSE_S = 0.5
-# From a stop's signal: readiness goes first, callers are sent away meanwhile,
-# then the listeners close; the rest of the grace is for open requests.
-NOTICE_S = 3.0
+SWEEP_INTERVAL_S = 0.25
+INTEREST_INTERVAL_S = 0.1
+USAGE_INTERVAL_S = 0.5
+# After the signal to stop, the node first reports itself as not ready and has
+# callers reconnect elsewhere. After this time the listeners close, and the rest
+# of the grace period is left to open requests.
+DRAIN_NOTICE_S = 3.0
 
 
 class Runtime:
-    """One node.
+    """One node: owns its components and background tasks.
 
     Args:
-        settings: What it is told.
-        deps: What it reaches the world by.
+        settings: The node's settings.
+        deps: Clients and utilities that the node uses.
 
     Attributes:
-        candidates: Which node is preferred for a duty.
-        cluster_state: What operators and trainers have written.
-        readiness: Whether the node may take work.
-        callers: Answers callers.
+        candidates: Ranks the nodes for each duty.
+        cluster_state: Configuration, servers and target weight versions.
+        readiness: Decides whether the node may accept requests.
+        callers: Handles callers' requests.
+        services: This node's duty for each service, by the service's name.
+        models: This node's duty for each model, by the duty's name.
         is_draining: Whether a planned stop has begun.
-        stopped: Set when the listeners are to close.
+        drain_requested: Set to begin a planned stop.
+        stopped: Set when the listeners should close.
     """
 
     def __init__(
@@ -99,8 +103,8 @@
             deps.store,
             self.clock,
             settings.node,
-            self._feed_pause_s,
-            self._follow,
+            self._poll_interval_s,
+            self._fetch_changes,
         )
         self.peers = peers.Peers(
             settings.node,
@@ -146,7 +150,7 @@
             orjson.dumps({"peers": settings.peers}),
         )
         self.candidates = candidates.Candidates(self.feed, settings.node)
-        self.feed.subscribe(tenures.NODES_PREFIX, self._take_node)
+        self.feed.subscribe(tenures.NODES_PREFIX, self._on_node_changed)
         self.cluster_state = clusterstate.ClusterState(
             self.feed, self.roster, deps.keys, deps.decoders
         )
@@ -203,11 +207,11 @@
     async def handle_peer_request(
         self, request: message.Request
     ) -> message.Response:
-        """Answers another node."""
+        """Returns the response to a request of another node."""
         if request.path == commits.PATH:
             return await commits.answer(self.dependencies.store, request)
         if request.path == handover.PATH:
-            return self._take_copy(handover.decode(request.body))
+            return self._apply_copy(handover.decode(request.body))
         if request.path == counts.PATH:
             return self.telling.answer(request)
         if request.path == loads.PATH:
@@ -215,8 +219,8 @@
             return message.Response(200)
         return await self.relay(request)
 
-    def _take_copy(self, copy: handover.Copy) -> message.Response:
-        """Takes over texts, and the samples of a node that stops."""
+    def _apply_copy(self, copy: handover.Copy) -> message.Response:
+        """Stores copied texts; the last copy also hands the samples over."""
         duty = self.services.get(copy.service)
         fits = duty is None or duty.coordinator.take_copy(copy)
         model = self.models.get(
@@ -234,7 +238,7 @@
         return message.Response(200)
 
     def apply_load_state(self, state: loads.LoadState) -> None:
-        """Takes over how a load on an engine stands."""
+        """Applies the state of an engine's weight load."""
         server = self.roster.servers.get(state.server)
         if server is None:
             return
@@ -253,7 +257,7 @@
         return self.cluster_state.catalogue
 
     def current_limits(self) -> limits.Limits:
-        """Returns what callers may send by the configuration in force."""
+        """Returns the limits on callers' requests from the configuration."""
         configured = self.current_catalogue()
         allowed = configured.limits if configured else catalogue.Limits()
         return limits.Limits(
@@ -265,7 +269,7 @@
         )
 
     def count_open_items(self, service: str) -> int:
-        """Returns how many items of a service's open batches are unlisted."""
+        """Returns how many items of a service's open batches lack a result."""
         configured = self.current_catalogue()
         if configured is None:
             return 0
@@ -277,18 +281,22 @@
         )
 
     def count_held_duties(self) -> int:
-        """Returns how many duties this node holds."""
+        """Returns the number of duties that this node holds."""
         duties = [*self.services.values(), *self.models.values()]
         return sum(duty.tenure.is_held() for duty in duties)
 
     def is_leader(self) -> bool:
-        """Tells whether this node holds a service's duty."""
+        """Returns whether this node leads any service."""
         return any(d.tenure.is_held() for d in self.services.values())
 
-    async def _follow(
+    async def _fetch_changes(
         self, position: changelog.Position
     ) -> changelog.Changes | None:
-        """Follows a leader, or any node while the store does not answer."""
+        """Returns the store's changes from another node, or None.
+
+        They come from a leader, or from any node while the store does not
+        answer. A leader reads the store itself while that answers.
+        """
         if self.is_leader() and not self.feed.is_lost:
             return None
         return await self.peers.follow(
@@ -296,7 +304,7 @@
         )
 
     async def _fetch_copy(self, batch_id: str) -> records.RecordCopy | None:
-        """Returns a batch from a node that is likely to know it."""
+        """Returns a copy of a batch from a node that is likely to have it."""
         nodes = self.peers.leaders()
         model = self.book.model_of(batch_id)
         for service in self.services if model else []:
@@ -305,8 +313,8 @@
         others = [n for n in dict.fromkeys(nodes) if n != self.settings.node]
         return await self.peers.copy_of(batch_id, others)
 
-    async def _keep_batches(self) -> None:
-        """Has the batches known that this node's duties need."""
+    async def _update_interest(self) -> None:
+        """Keeps the set of batches up to date that this node's duties need."""
         while True:
             everything = self.is_leader() or leadership.is_small_fleet(self)
             models = {
@@ -315,42 +323,42 @@
                 if duty.needs_batches()
             }
             self.book.want(everything, frozenset(models))
-            await self.clock.rest(WANT_PAUSE_S)
+            await self.clock.rest(INTEREST_INTERVAL_S)
 
-    def _feed_pause_s(self) -> float:
+    def _poll_interval_s(self) -> float:
         if self.is_leader():
-            return LEADER_PAUSE_S
+            return LEADER_POLL_INTERVAL_S
         is_needed = self.book.readers or any(
             duty.coordinator.active for duty in self.services.values()
         )
         if self.feed.is_following and is_needed:
-            return NEEDED_PAUSE_S
+            return ACTIVE_POLL_INTERVAL_S
         return pace.idle_pause_s(
             len(self.candidates.names()), self.settings.bounds.apply_s
         )
 
     def is_ready(self) -> bool:
-        """Tells whether callers should be sent here."""
+        """Returns whether load balancers should send callers here."""
         is_refusing = self.readiness.admission_error() is not None
         return not self.is_draining and not is_refusing
 
-    def _take_node(self, entry: stores.Entry) -> None:
-        """Has this node's own entry written again once it is gone."""
+    def _on_node_changed(self, entry: stores.Entry) -> None:
+        """Has this node's own entry written again if it was removed."""
         is_own = entry.key == tenures.NODES_PREFIX + self.settings.node
         if is_own and entry.value is None:
             self.presence.note_removed()
 
     async def run(self) -> None:
-        """Runs until a planned stop has ended."""
+        """Runs the node until a planned stop is complete."""
         async with trio.open_nursery() as nursery:
             for task in (
                 self.feed.run,
                 keeper.Keeper(self.book, self.clock).run,
-                self._keep_batches,
+                self._update_interest,
                 self.session.run,
                 self.presence.run,
                 self._sweep_forever,
-                self._lead_services,
+                self._start_duties,
                 self._share_usage,
                 self._report_usage,
             ):
@@ -360,7 +368,7 @@
             nursery.cancel_scope.cancel()
 
     async def _drain(self) -> None:
-        """Hands duties over, and leaves callers time to go elsewhere."""
+        """Hands duties over and gives callers time to reconnect elsewhere."""
         events.log(events.Event.NODE_DRAINING, node=self.settings.node)
         self.is_draining = True
         for duty in self.models.values():
@@ -372,16 +380,16 @@
                 await self.usage.share(is_last=True)
             except stores.StoreError as e:
                 events.log(events.Event.STORE_FAILED, reason=e.reason)
-        await self.clock.sleep(NOTICE_S)
+        await self.clock.sleep(DRAIN_NOTICE_S)
         self.stopped.set()
 
     async def _sweep_forever(self) -> None:
         while True:
             self.roster.sweep()
-            await self.clock.rest(SWEEP_PAUSE_S)
+            await self.clock.rest(SWEEP_INTERVAL_S)
 
-    async def _lead_services(self) -> None:
-        """Contends for each service that has model engines, and its models."""
+    async def _start_duties(self) -> None:
+        """Campaigns for the duties of services with engines, and of models."""
         async with trio.open_nursery() as nursery:
             while True:
                 configured = self.current_catalogue()
@@ -389,10 +397,10 @@
                     configured.services.items() if configured else ()
                 ):
                     if service.slots:
-                        self._contend_for(name, service.models, nursery)
-                await self.clock.rest(LEAD_PAUSE_S)
+                        self._start_service(name, service.models, nursery)
+                await self.clock.rest(ELECTION_INTERVAL_S)
 
-    def _contend_for(
+    def _start_service(
         self, service: str, models: Iterable[str], nursery: trio.Nursery
     ) -> None:
         if service not in self.services:
@@ -408,7 +416,7 @@
 
     async def _share_usage(self) -> None:
         while True:
-            await self.clock.rest(USAGE_PAUSE_S)
+            await self.clock.rest(USAGE_INTERVAL_S)
             try:
                 await self.usage.share()
             except stores.StoreError as e:
@@ -423,12 +431,12 @@
             return
         await tenures.hold(
             self.reporter.tenure,
-            self._look_after_store,
+            self._run_usage_duty,
             lambda: leadership.rank(self, windows.DUTY),
-            USAGE_PAUSE_S,
+            USAGE_INTERVAL_S,
         )
 
-    async def _look_after_store(self) -> None:
-        """Reports usage and answers requests to empty VMs."""
+    async def _run_usage_duty(self) -> None:
+        """Reports usage and responds to requests to retire VMs."""
         await self.reporter.step()
         await self.retirements.answer()
