--- a/src/kingcupscale/batches/generation.py
+++ b/src/kingcupscale/batches/generation.py
@@ -9,10 +9,10 @@
 
 from kingcupscale import clock as clocks
 from kingcupscale import events
-from kingcupscale.batches import permission as permissions
 from kingcupscale.batches import placement
 from kingcupscale.batches import sample as samples
-from kingcupscale.fleet import roster
+from kingcupscale.batches import sendguard
+from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
 
 # Time that an engine gets for the connection and for the whole run.
@@ -20,7 +20,7 @@
 RUN_LIMIT_S = 30.0
 # An engine begins its answer with the first token; before that, a run waits
 # for a place and for weights that are being loaded.
-HEAD_S = 5.0
+HEADER_TIMEOUT_S = 5.0
 # An engine that sends nothing for this long is given up for another one; one
 # that loads weights keeps its runs waiting meanwhile.
 SILENCE_S = 0.8
@@ -49,7 +49,7 @@
     Args:
         client: Calls the engines.
         clock: Tells the time.
-        permission: Lets requests leave.
+        guard: Checks that requests may still be sent.
         fail: Ends a sample that can't be done, for a reason.
 
     Attributes:
@@ -62,18 +62,20 @@
         self,
         client: serverclient.ServerClient,
         clock: clocks.Clock,
-        permission: permissions.Permission,
+        guard: sendguard.SendGuard,
         fail: Callable[[samples.Sample, str], None],
     ) -> None:
         self.client = client
         self.clock = clock
-        self.permission = permission
+        self.guard = guard
         self.fail = fail
         self.token_s = placement.TOKEN_S
         self.event_s = 0.0
         self.event_tokens = EVENT_TOKENS
 
-    async def run(self, sample: samples.Sample, server: roster.Server) -> bool:
+    async def run(
+        self, sample: samples.Sample, server: registry.Server
+    ) -> bool:
         """Runs a sample once; whether its text is whole."""
         model = sample.record.batch.model
         version = server.versions.get(model, 0)
@@ -83,7 +85,7 @@
         before = len(sample.events)
         call = self._make_call(sample, version)
         outcome = "given up"
-        view_age_s = self.permission.view.age_s()
+        view_age_s = self.guard.view.age_s()
         try:
             with sample.run_scope:
                 async with self._begun(server, call) as answer:
@@ -95,23 +97,23 @@
             self._postpone(sample, KEPT_BACK_PAUSE_S)
         except serverclient.ServerError as e:
             outcome = f"broken: {e.reason}"
-            server.note_failure(self.clock.monotonic())
+            server.record_failure(self.clock.monotonic())
             self._postpone(sample, FAILED_PAUSE_S)
         finally:
             self._log_run(sample, server, outcome, began_at, before, view_age_s)
         if outcome != "whole":
             return False
-        server.note_success()
+        server.record_success()
         self._learn(sample, server, began_at, before)
         return True
 
     @contextlib.asynccontextmanager
     async def _begun(
-        self, server: roster.Server, call: serverclient.Call
+        self, server: registry.Server, call: serverclient.Call
     ) -> AsyncIterator[serverclient.Answer]:
         """Sends a request whose answer has to begin in time."""
         async with contextlib.AsyncExitStack() as stack:
-            with trio.move_on_after(HEAD_S) as scope:
+            with trio.move_on_after(HEADER_TIMEOUT_S) as scope:
                 answer = await stack.enter_async_context(
                     self.client.run(server, call, CONNECT_S)
                 )
@@ -135,19 +137,19 @@
             expected_version=version or None,
             resume_after=sample.resume_after(),
             priority=min(9, sample.route.priority),
-            check=functools.partial(self.permission.check, sample),
+            check=functools.partial(self.guard.check, sample),
         )
 
     async def _take_answer(
         self,
         sample: samples.Sample,
-        server: roster.Server,
+        server: registry.Server,
         answer: serverclient.Answer,
     ) -> str:
         """Reads an answer; returns "whole" or why the text is not."""
         now = self.clock.monotonic()
         if answer.load is not None:
-            server.note_load(answer.load, now)
+            server.update_load(answer.load, now)
         if answer.not_run:
             await self._note_turned_away(sample, server, answer)
             return f"turned away with {answer.status}"
@@ -162,19 +164,19 @@
     async def _note_turned_away(
         self,
         sample: samples.Sample,
-        server: roster.Server,
+        server: registry.Server,
         answer: serverclient.Answer,
     ) -> None:
         now = self.clock.monotonic()
         model = sample.record.batch.model
         if not answer.wrong_server:
-            server.closed[model] = now + TURNED_AWAY_S
+            server.no_samples_until[model] = now + TURNED_AWAY_S
         elif answer.version:
             server.versions[model] = answer.version
         else:
             # Its address may have gone to another server, or it has other
             # weights than this node was told; the report shows which.
-            server.note_failure(now)
+            server.record_failure(now)
             report = await self.client.report(server)
             server.versions.update(report.versions)
 
@@ -190,7 +192,7 @@
     async def _read_events(
         self,
         sample: samples.Sample,
-        server: roster.Server,
+        server: registry.Server,
         answer: serverclient.Answer,
     ) -> str:
         stream = self.client.events(answer)
@@ -217,7 +219,7 @@
                     raise serverclient.ServerError("text without end", True)
 
     def _silence_s(
-        self, sample: samples.Sample, server: roster.Server
+        self, sample: samples.Sample, server: registry.Server
     ) -> float:
         is_loading = server.loading_until > self.clock.monotonic()
         usual_s = LOADING_SILENCE_S if is_loading else SILENCE_S
@@ -229,7 +231,7 @@
     def _learn(
         self,
         sample: samples.Sample,
-        server: roster.Server,
+        server: registry.Server,
         began_at: float,
         before: int,
     ) -> None:
@@ -244,12 +246,14 @@
             self.token_s += TOKEN_WEIGHT * (token_s - self.token_s)
         self.event_s = self.event_s or elapsed_s / made
         self.event_s += TOKEN_WEIGHT * (elapsed_s / made - self.event_s)
-        server.note_pace(elapsed_s / made / max(1e-6, self.event_s))
+        server.update_relative_latency(
+            elapsed_s / made / max(1e-6, self.event_s)
+        )
 
     def _log_run(
         self,
         sample: samples.Sample,
-        server: roster.Server,
+        server: registry.Server,
         outcome: str,
         began_at: float,
         before: int,
--- a/src/kingcupscale/events.py
+++ b/src/kingcupscale/events.py
@@ -28,14 +28,8 @@
     STORE_FAILED = (2204, "A call to the key-value service failed.")
     STORE_REGAINED = (2205, "The key-value service answers again.")
     STORE_HISTORY_LOST = (2206, "History was compacted; all keys are reread.")
-    STORE_ENTRY_UNREADABLE = (
-        2207,
-        "A stored value is invalid and was ignored.",
-    )
-    WRITTEN_THROUGH_PEER = (
-        2208,
-        "Another node wrote to the store for this one.",
-    )
+    STORE_ENTRY_UNREADABLE = (2207, "An invalid stored value was ignored.")
+    WRITTEN_THROUGH_PEER = (2208, "A write was made through another node.")
     MIRROR_DIFFERED = (2209, "A change was missed; all keys are reread.")
     VIEW_OLD = (2210, "Ended batches may be unknown; items wait.")
     VIEW_CURRENT = (2211, "Ended batches are known again; items resume.")
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -19,7 +19,7 @@
 from kingcupscale.batches import record as records
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import peers
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.gateway import admission as admissions
 from kingcupscale.gateway import callers
 from kingcupscale.gateway import forwarder
@@ -122,7 +122,7 @@
             settings.bounds.cancel_s,
             self.peers.heard_at,
         )
-        self.roster = roster.Roster(
+        self.server_registry = registry.ServerRegistry(
             self.clock,
             lambda: self.feed.regained_at,
             lambda: self.feed.is_lost,
@@ -152,7 +152,7 @@
         self.candidates = candidates.Candidates(self.feed, settings.node)
         self.feed.subscribe(tenures.NODES_PREFIX, self._on_node_changed)
         self.cluster_state = clusterstate.ClusterState(
-            self.feed, self.roster, deps.keys, deps.decoders
+            self.feed, self.server_registry, deps.keys, deps.decoders
         )
         self.readiness = readiness.Readiness(
             self.feed,
@@ -185,7 +185,7 @@
         )
         self.forwarder = forwarder.Forwarder(
             admission,
-            self.roster,
+            self.server_registry,
             deps.servers,
             self.usage,
             self.metrics,
@@ -222,7 +222,7 @@
     def _apply_copy(self, copy: handover.Copy) -> message.Response:
         """Stores copied texts; the last copy also hands the samples over."""
         duty = self.services.get(copy.service)
-        fits = duty is None or duty.coordinator.take_copy(copy)
+        fits = duty is None or duty.coordinator.apply_copy(copy)
         model = self.models.get(
             leadership.model_duty_name(copy.service, copy.model)
         )
@@ -239,12 +239,12 @@
 
     def apply_load_state(self, state: loads.LoadState) -> None:
         """Applies the state of an engine's weight load."""
-        server = self.roster.servers.get(state.server)
+        server = self.server_registry.servers.get(state.server)
         if server is None:
             return
         now = self.clock.monotonic()
         server.versions[state.model] = state.version
-        server.closed[state.model] = now + state.closed_s
+        server.no_samples_until[state.model] = now + state.closed_s
         server.loading_until = now + state.loading_s
         self._wake_coordinators()
 
@@ -329,7 +329,7 @@
         if self.is_leader():
             return LEADER_POLL_INTERVAL_S
         is_needed = self.book.readers or any(
-            duty.coordinator.active for duty in self.services.values()
+            duty.coordinator.active_models for duty in self.services.values()
         )
         if self.feed.is_following and is_needed:
             return ACTIVE_POLL_INTERVAL_S
@@ -385,7 +385,7 @@
 
     async def _sweep_forever(self) -> None:
         while True:
-            self.roster.sweep()
+            self.server_registry.remove_expired()
             await self.clock.rest(SWEEP_INTERVAL_S)
 
     async def _start_duties(self) -> None:
--- a/tests/batches/test_decisions.py
+++ b/tests/batches/test_decisions.py
@@ -6,14 +6,14 @@
 import parameterized
 
 from kingcupscale.batches import batch
-from kingcupscale.batches import moving
+from kingcupscale.batches import migration
 from kingcupscale.batches import placement
 from kingcupscale.batches import record
 from kingcupscale.batches import sample
 from kingcupscale.batches import weights
 from kingcupscale.capacity import fleetsize
 from kingcupscale.fleet import catalogue
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.gateway import placement as call_placement
 from kingcupscale.gateway import refusal
 
@@ -28,17 +28,20 @@
 
 
 def make_server(name, zone="a", slots=8, versions=None, pace=1.0, busy=0):
-    entry = roster.ServerEntry(
+    entry = registry.ServerEntry(
         name,
         "engines",
         f"{name}:80",
         zone,
-        roster.ServerState.READY,
+        registry.ServerState.READY,
         slots,
-        born=1,
+        start_ms=1,
     )
-    return roster.Server(
-        entry, versions=versions or {"m": 1}, pace=pace, in_flight=busy
+    return registry.Server(
+        entry,
+        versions=versions or {"m": 1},
+        relative_latency=pace,
+        in_flight=busy,
     )
 
 
@@ -64,7 +67,11 @@
             waiting.remove(choice.sample)
             server = choice.server
             share = 1 + placement.SLOWDOWN * server.in_flight
-            took_s = choice.sample.item.length_hint * token_s * server.pace
+            took_s = (
+                choice.sample.item.length_hint
+                * token_s
+                * server.relative_latency
+            )
             server.in_flight += 1
             ends.append((now + took_s * share, server))
             continue
@@ -109,7 +116,7 @@
     )
     def test_engine_can_run(self, _, versions, minimum, closed, expected):
         server = make_server("e", versions=versions)
-        server.closed["m"] = closed
+        server.no_samples_until["m"] = closed
         waiting = make_sample("s", minimum=minimum)
         self.assertEqual(placement.can_run(waiting, server, 5.0), expected)
 
@@ -133,20 +140,64 @@
             self.assertEqual(len(single.events), kept)
 
 
-class MovingTest(unittest.TestCase):
+class MigrationTest(unittest.TestCase):
     @parameterized.parameterized.expand(
         [
-            ("slow_and_long", moving.Pace(6, 30, 0.1, 0), 0.025, 100, True),
-            ("slow_at_its_end", moving.Pace(18, 20, 0.03, 0), 0.02, 24, False),
-            ("as_fast", moving.Pace(6, 30, 0.03, 0), 0.025, 100, False),
-            ("too_early", moving.Pace(2, 2, 0.5, 0), 0.025, 100, False),
-            ("moved_often", moving.Pace(6, 30, 0.2, 4), 0.025, 100, False),
-            ("other_unknown", moving.Pace(4, 4, 0.025, 0), 0.0, 300, False),
-            ("past_its_hint", moving.Pace(6, 90, 0.1, 0), 0.025, 20, True),
+            (
+                "slow_and_long",
+                migration.RunProgress(6, 30, 0.1, 0),
+                0.025,
+                100,
+                True,
+            ),
+            (
+                "slow_at_its_end",
+                migration.RunProgress(18, 20, 0.03, 0),
+                0.02,
+                24,
+                False,
+            ),
+            (
+                "as_fast",
+                migration.RunProgress(6, 30, 0.03, 0),
+                0.025,
+                100,
+                False,
+            ),
+            (
+                "too_early",
+                migration.RunProgress(2, 2, 0.5, 0),
+                0.025,
+                100,
+                False,
+            ),
+            (
+                "moved_often",
+                migration.RunProgress(6, 30, 0.2, 4),
+                0.025,
+                100,
+                False,
+            ),
+            (
+                "other_unknown",
+                migration.RunProgress(4, 4, 0.025, 0),
+                0.0,
+                300,
+                False,
+            ),
+            (
+                "past_its_hint",
+                migration.RunProgress(6, 90, 0.1, 0),
+                0.025,
+                20,
+                True,
+            ),
         ]
     )
-    def test_is_worth_moving(self, _, pace, other, expected, verdict):
-        self.assertEqual(moving.is_worth_moving(pace, other, expected), verdict)
+    def test_should_migrate(self, _, pace, other, expected, verdict):
+        self.assertEqual(
+            migration.should_migrate(pace, other, expected), verdict
+        )
 
 
 class WeightsTest(unittest.TestCase):
