--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -13,7 +13,7 @@
 from kingcupscale.batches import book as books
 from kingcupscale.batches import generation
 from kingcupscale.batches import listing
-from kingcupscale.batches import migration
+from kingcupscale.batches import moving
 from kingcupscale.batches import placement
 from kingcupscale.batches import record as records
 from kingcupscale.batches import sample as samples
@@ -369,14 +369,14 @@
         for sample in self.open_samples():
             if sample.stage is not samples.Stage.GENERATING:
                 continue
-            pace = migration.RunProgress(
+            pace = moving.RunProgress(
                 sample.run_events,
                 len(sample.events),
                 sample.seconds_per_event(now),
-                sample.migrations,
+                sample.moves,
             )
             expected = sample.expected_tokens() / self.generator.event_tokens
-            if not migration.should_migrate(pace, least_s, expected):
+            if not moving.should_move(pace, least_s, expected):
                 continue
             here = self.servers.servers.get(sample.server)
             others = [
@@ -388,8 +388,8 @@
             if not others or here is None or room <= taken:
                 continue
             best = min(placement.completion_cost(s, now, False) for s in others)
-            if migration.should_migrate(pace, best * event_s, expected):
-                sample.migrations += 1
+            if moving.should_move(pace, best * event_s, expected):
+                sample.moves += 1
                 taken += 1
                 here.update_relative_latency(pace.event_s / max(1e-6, event_s))
                 sample.run_scope.cancel()
--- a/src/kingcupscale/batches/migration.py
+++ b/src/kingcupscale/batches/moving.py
@@ -1,21 +1,21 @@
-"""Decides when a running sample migrates to another engine.
+"""Decides when a running sample moves to another engine.
 
 An engine may become slow or stop sending while a whole step waits for one of
 its samples. Another engine can resume the text after a cheap prefill, so the
-sample migrates as soon as this saves more time than it costs.
+sample moves as soon as this saves more time than it costs.
 """
 
 import attrs
 
-# Seconds that a migration costs: a connection, and a prefill of the text.
-MIGRATION_COST_S = 0.25
+# Seconds that a move costs: a connection, and a prefill of the text.
+MOVE_COST_S = 0.25
 # A sample leaves an engine only if that engine is this many times slower than
 # the other one.
 MIN_SLOWDOWN = 1.5
-# Events that a run needs before its speed is used, and the most migrations of
+# Events that a run needs before its speed is used, and the most moves of
 # one sample.
 MIN_RUN_EVENTS = 4
-MAX_MIGRATIONS = 4
+MAX_MOVES = 4
 # A text is assumed to continue for at least this share of its present length,
 # and for at least this many events.
 REMAINING_SHARE = 0.3
@@ -30,13 +30,13 @@
         events: Number of events that this run has received.
         text_events: Number of events of the text, including earlier runs.
         event_s: Recent seconds per event on this engine; 0 if unknown.
-        migrations: How often the sample has migrated.
+        moves: How often the sample has moved.
     """
 
     events: int
     text_events: int
     event_s: float
-    migrations: int
+    moves: int
 
 
 def remaining_events(text_events: int, expected_events: float) -> float:
@@ -49,7 +49,7 @@
     return max(minimum, expected_events - text_events)
 
 
-def should_migrate(
+def should_move(
     run: RunProgress, other_event_s: float, expected_events: float
 ) -> bool:
     """Tells whether a sample would finish sooner on another engine.
@@ -60,11 +60,11 @@
             run has been measured yet.
         expected_events: Expected number of events of the whole text.
     """
-    if run.events < MIN_RUN_EVENTS or run.migrations >= MAX_MIGRATIONS:
+    if run.events < MIN_RUN_EVENTS or run.moves >= MAX_MOVES:
         return False
     if other_event_s <= 0:
         return False
     if run.event_s < MIN_SLOWDOWN * other_event_s:
         return False
     remaining = remaining_events(run.text_events, expected_events)
-    return remaining * (run.event_s - other_event_s) > MIGRATION_COST_S
+    return remaining * (run.event_s - other_event_s) > MOVE_COST_S
--- a/src/kingcupscale/batches/sample.py
+++ b/src/kingcupscale/batches/sample.py
@@ -45,7 +45,7 @@
         waiting_since: Monotonic time since which it has been waiting.
         scope: Cancels all work on it.
         run_scope: Cancels only its current run.
-        migrations: How often it has migrated to another engine.
+        moves: How often it has moved to another engine.
         event_times: Monotonic times of the latest events of its current run.
         run_events: Number of events of its current run.
         idle_timeouts: Number of runs that ended because the engine sent
@@ -65,7 +65,7 @@
     waiting_since: float = 0.0
     scope: trio.CancelScope = attrs.field(factory=trio.CancelScope)
     run_scope: trio.CancelScope = attrs.field(factory=trio.CancelScope)
-    migrations: int = 0
+    moves: int = 0
     event_times: collections.deque[float] = attrs.field(
         factory=lambda: collections.deque(maxlen=SPEED_WINDOW_EVENTS)
     )
--- a/tests/batches/test_decisions.py
+++ b/tests/batches/test_decisions.py
@@ -6,7 +6,7 @@
 import parameterized
 
 from kingcupscale.batches import batch
-from kingcupscale.batches import migration
+from kingcupscale.batches import moving
 from kingcupscale.batches import placement
 from kingcupscale.batches import record
 from kingcupscale.batches import sample
@@ -140,64 +140,62 @@
             self.assertEqual(len(single.events), kept)
 
 
-class MigrationTest(unittest.TestCase):
+class MovingTest(unittest.TestCase):
     @parameterized.parameterized.expand(
         [
             (
                 "slow_and_long",
-                migration.RunProgress(6, 30, 0.1, 0),
+                moving.RunProgress(6, 30, 0.1, 0),
                 0.025,
                 100,
                 True,
             ),
             (
                 "slow_at_its_end",
-                migration.RunProgress(18, 20, 0.03, 0),
+                moving.RunProgress(18, 20, 0.03, 0),
                 0.02,
                 24,
                 False,
             ),
             (
                 "as_fast",
-                migration.RunProgress(6, 30, 0.03, 0),
+                moving.RunProgress(6, 30, 0.03, 0),
                 0.025,
                 100,
                 False,
             ),
             (
                 "too_early",
-                migration.RunProgress(2, 2, 0.5, 0),
+                moving.RunProgress(2, 2, 0.5, 0),
                 0.025,
                 100,
                 False,
             ),
             (
                 "moved_often",
-                migration.RunProgress(6, 30, 0.2, 4),
+                moving.RunProgress(6, 30, 0.2, 4),
                 0.025,
                 100,
                 False,
             ),
             (
                 "other_unknown",
-                migration.RunProgress(4, 4, 0.025, 0),
+                moving.RunProgress(4, 4, 0.025, 0),
                 0.0,
                 300,
                 False,
             ),
             (
                 "past_its_hint",
-                migration.RunProgress(6, 90, 0.1, 0),
+                moving.RunProgress(6, 90, 0.1, 0),
                 0.025,
                 20,
                 True,
             ),
         ]
     )
-    def test_should_migrate(self, _, pace, other, expected, verdict):
-        self.assertEqual(
-            migration.should_migrate(pace, other, expected), verdict
-        )
+    def test_should_move(self, _, pace, other, expected, verdict):
+        self.assertEqual(moving.should_move(pace, other, expected), verdict)
 
 
 class WeightsTest(unittest.TestCase):
