--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -23,43 +23,43 @@
 
 
 SITE = "tests.platform."
-BOOK = "tests.batches.test_book"
+CACHE = "tests.batches.test_cache"
 
 BREAKS = (
     Break(
         "a result has one position",
-        "batches/book.py",
+        "batches/cache.py",
         "stores.Transaction(conditions, puts)",
         "stores.Transaction([], puts)",
-        BOOK,
+        CACHE,
     ),
     Break(
         "a reader hears of results without the store",
-        "batches/book.py",
+        "batches/cache.py",
         "self.feed.ask_anew()",
         "pass",
-        BOOK,
+        CACHE,
     ),
     Break(
         "no result is missed by a node that takes a copy",
         "batches/source.py",
         "if copy is None or copy.revision < revision:",
         "if copy is None:",
-        BOOK,
+        CACHE,
     ),
     Break(
         "no result is missed while a batch is loaded",
-        "batches/book.py",
+        "batches/cache.py",
         "for entry in loading.entries:",
         "for entry in ():",
-        BOOK,
+        CACHE,
     ),
     Break(
         "no result is missed after lost history",
         "storage/feed.py",
         "                    self.on_reloaded()",
         "                    pass",
-        BOOK,
+        CACHE,
     ),
     Break(
         "a mirror is no newer than it says",
@@ -141,14 +141,14 @@
         "batches/retention.py",
         "return record is not None and not record.is_open()",
         "return True",
-        BOOK,
+        CACHE,
     ),
     Break(
         "an ended batch stays ended",
-        "batches/book.py",
+        "batches/cache.py",
         "            record.note_ended()\n        self.records[batch_id]",
         "            pass\n        self.records[batch_id]",
-        BOOK,
+        CACHE,
     ),
     Break(
         "a result is listed in its own batch only",
@@ -313,7 +313,7 @@
     ),
     Break(
         "a batch is shown to its organisation only",
-        "batches/book.py",
+        "batches/cache.py",
         "if record is None or record.batch.organisation != organisation:",
         "if record is None:",
         SITE + "test_submissions",
@@ -441,7 +441,7 @@
     ),
     Break(
         "a node that starts reads first what calls need",
-        "batches/book.py",
+        "batches/cache.py",
         "        feed.defer(records.PREFIX)\n",
         "",
         SITE + "test_herd",
@@ -561,9 +561,9 @@
     ),
     Break(
         "a rewritten specification is no new batch",
-        "batches/book.py",
+        "batches/cache.py",
         "is_new = entry.created == entry.revision",
         "is_new = True",
-        BOOK,
+        CACHE,
     ),
 )
--- a/src/kingcupscale/batches/book.py
+++ b/src/kingcupscale/batches/cache.py
@@ -51,7 +51,7 @@
     entries: list[stores.Entry] = attrs.field(factory=list)
 
 
-class Book:
+class BatchCache:
     """Batches, mirrored from the store as far as they are wanted here.
 
     A chunk of results is written on condition that no chunk starts at its
--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -10,7 +10,7 @@
 from kingcupscale import events
 from kingcupscale import metrics
 from kingcupscale.batches import batch as batches
-from kingcupscale.batches import book as books
+from kingcupscale.batches import cache as caches
 from kingcupscale.batches import generation
 from kingcupscale.batches import listing
 from kingcupscale.batches import moving
@@ -50,7 +50,7 @@
 
     Args:
         service: Name of the service.
-        book: The batches.
+        batch_cache: The batches.
         servers: The backend servers.
         client: Calls them.
         forward: Passes scoring calls on.
@@ -68,7 +68,7 @@
     def __init__(
         self,
         service: str,
-        book: books.Book,
+        batch_cache: caches.BatchCache,
         servers: roster.Roster,
         client: serverclient.ServerClient,
         forward: forwarder.Forwarder,
@@ -80,7 +80,7 @@
         permission = permissions.Permission(view)
         self.view = view
         self.service = service
-        self.book = book
+        self.batch_cache = batch_cache
         self.servers = servers
         self.generator = generation.Generator(
             client, clock, permission, self._fail
@@ -94,7 +94,7 @@
             self._fail,
         )
         self.lister = listing.Lister(
-            service, book, clock, self._samples_to_list
+            service, batch_cache, clock, self._samples_to_list
         )
         self.measures = measures
         self.clock = clock
@@ -226,7 +226,7 @@
             is_over = not progress.record.is_open()
             if is_over or not self.is_active(progress.record.batch.model):
                 self._let_go(progress)
-        for batch_id, record in list(self.book.records.items()):
+        for batch_id, record in list(self.batch_cache.records.items()):
             is_ours = self.is_active(record.batch.model)
             is_known = batch_id in self.progress
             if is_ours and not is_known and record.is_open():
@@ -239,8 +239,8 @@
         the batch's model is set; only the new object hears of changes.
         """
         for batch_id, progress in self.progress.items():
-            held = self.book.records.get(batch_id)
-            if held is None and self.book.has_end(batch_id):
+            held = self.batch_cache.records.get(batch_id)
+            if held is None and self.batch_cache.has_end(batch_id):
                 progress.record.note_ended()
             if held is None or held is progress.record:
                 continue
@@ -248,7 +248,7 @@
             for sample in progress.samples.values():
                 sample.record = held
         for sample in self.leftovers:
-            held = self.book.records.get(sample.record.batch.id)
+            held = self.batch_cache.records.get(sample.record.batch.id)
             sample.record = held or sample.record
 
     def _let_go(self, progress: Progress) -> None:
--- a/src/kingcupscale/batches/keeper.py
+++ b/src/kingcupscale/batches/keeper.py
@@ -2,7 +2,7 @@
 
 from kingcupscale import clock as clocks
 from kingcupscale import errors
-from kingcupscale.batches import book as books
+from kingcupscale.batches import cache as caches
 from kingcupscale.batches import record as records
 
 # A batch that is read here is kept up to date for this long after a read;
@@ -18,12 +18,14 @@
     """Loads the batches that are wanted, and lets go of the rest.
 
     Args:
-        book: The batches.
+        batch_cache: The batches.
         clock: Tells the time.
     """
 
-    def __init__(self, book: books.Book, clock: clocks.Clock) -> None:
-        self.book = book
+    def __init__(
+        self, batch_cache: caches.BatchCache, clock: clocks.Clock
+    ) -> None:
+        self.batch_cache = batch_cache
         self.clock = clock
         self.swept_at = 0.0
 
@@ -38,57 +40,59 @@
             await self.clock.rest(PAUSE_S)
 
     async def _load_wanted(self) -> None:
-        for batch_id in sorted(self.book.unexamined):
-            known = self.book.known.get(batch_id)
-            is_wanted = known is None or self.book.interest.includes(
+        for batch_id in sorted(self.batch_cache.unexamined):
+            known = self.batch_cache.known.get(batch_id)
+            is_wanted = known is None or self.batch_cache.interest.includes(
                 batch_id, known.model
             )
-            if not is_wanted or self.book.has_end(batch_id):
-                self.book.unexamined.discard(batch_id)
+            if not is_wanted or self.batch_cache.has_end(batch_id):
+                self.batch_cache.unexamined.discard(batch_id)
                 continue
             try:
-                await self.book.load(batch_id, is_read=False)
+                await self.batch_cache.load(batch_id, is_read=False)
             except errors.ServiceError as e:
-                self.book.unexamined.add(batch_id)
-                books.log_unloaded(batch_id, e)
+                self.batch_cache.unexamined.add(batch_id)
+                caches.log_unloaded(batch_id, e)
                 return
         await self._refresh_open()
 
     async def _refresh_open(self) -> None:
         """Brings up to date what may have been missed of open batches."""
-        for record in list(self.book.records.values()):
+        for record in list(self.batch_cache.records.values()):
             if record.is_current or not record.is_open():
                 continue
             try:
-                await self.book.source.refresh(record)
+                await self.batch_cache.source.refresh(record)
             except errors.ServiceError as e:
-                books.log_unloaded(record.batch.id, e)
+                caches.log_unloaded(record.batch.id, e)
                 return
 
     def _let_go(self) -> None:
         """Lets go of batches that nobody here asks for any more."""
         now = self.clock.monotonic()
-        self.book.reads = {
+        self.batch_cache.reads = {
             batch_id: at
-            for batch_id, at in self.book.reads.items()
+            for batch_id, at in self.batch_cache.reads.items()
             if now - at < READ_KEPT_S
         }
-        self.book.update_interest()
+        self.batch_cache.update_interest()
         closed_bytes = 0
         newest_first = sorted(
-            self.book.records.values(), key=self._last_wanted_at, reverse=True
+            self.batch_cache.records.values(),
+            key=self._last_wanted_at,
+            reverse=True,
         )
         for record in newest_first:
             batch_id = record.batch.id
-            is_wanted = self.book.interest.includes(
+            is_wanted = self.batch_cache.interest.includes(
                 batch_id, record.batch.model
             )
             if is_wanted and record.is_open():
                 continue
             closed_bytes += record.size()
             if not is_wanted or closed_bytes > CLOSED_BYTES:
-                del self.book.records[batch_id]
+                del self.batch_cache.records[batch_id]
 
     def _last_wanted_at(self, record: records.Record) -> tuple[float, int]:
-        read_at = self.book.reads.get(record.batch.id, 0.0)
+        read_at = self.batch_cache.reads.get(record.batch.id, 0.0)
         return read_at, record.submitted_ms
--- a/src/kingcupscale/batches/listing.py
+++ b/src/kingcupscale/batches/listing.py
@@ -9,7 +9,7 @@
 from kingcupscale import errors
 from kingcupscale import events
 from kingcupscale.batches import batch as batches
-from kingcupscale.batches import book as books
+from kingcupscale.batches import cache as caches
 from kingcupscale.batches import record as records
 from kingcupscale.batches import sample as samples
 from kingcupscale.storage import store as stores
@@ -28,7 +28,7 @@
 
     Args:
         service: Name of the service, for the log.
-        book: The batches.
+        batch_cache: The batches.
         clock: Tells the time.
         find_samples: Returns the samples that may have results.
 
@@ -39,12 +39,12 @@
     def __init__(
         self,
         service: str,
-        book: books.Book,
+        batch_cache: caches.BatchCache,
         clock: clocks.Clock,
         find_samples: Callable[[], Iterable[samples.Sample]],
     ) -> None:
         self.service = service
-        self.book = book
+        self.batch_cache = batch_cache
         self.clock = clock
         self.find_samples = find_samples
         self.finished = trio.Event()
@@ -70,7 +70,7 @@
         additions = self._gather()
         if not additions:
             return
-        is_listed = await self.book.append(additions)
+        is_listed = await self.batch_cache.append(additions)
         for record, chunk in additions:
             events.log(
                 events.Event.RESULTS_LISTED,
--- a/src/kingcupscale/batches/retention.py
+++ b/src/kingcupscale/batches/retention.py
@@ -4,7 +4,7 @@
 
 from kingcupscale import clock as clocks
 from kingcupscale import errors
-from kingcupscale.batches import book as books
+from kingcupscale.batches import cache as caches
 from kingcupscale.batches import record as records
 from kingcupscale.storage import entries
 from kingcupscale.storage import store as stores
@@ -17,14 +17,16 @@
     """Removes old batches from the store.
 
     Args:
-        book: The batches.
+        batch_cache: The batches.
         clock: Tells the time.
     """
 
-    def __init__(self, book: books.Book, clock: clocks.Clock) -> None:
-        self.book = book
-        self.source = book.source
-        self.store = book.store
+    def __init__(
+        self, batch_cache: caches.BatchCache, clock: clocks.Clock
+    ) -> None:
+        self.batch_cache = batch_cache
+        self.source = batch_cache.source
+        self.store = batch_cache.store
         self.clock = clock
 
     async def forget_older_than(self, seconds: float) -> None:
@@ -34,13 +36,13 @@
             StoreError: If the store cannot be reached.
         """
         now_ms = self.clock.now().timestamp() * 1000
-        for batch_id in self.book.batch_ids():
+        for batch_id in self.batch_cache.batch_ids():
             if (
-                batch_id in self.book.unexamined
-                or batch_id in self.book.loading
+                batch_id in self.batch_cache.unexamined
+                or batch_id in self.batch_cache.loading
             ):
                 continue
-            known = self.book.known.get(batch_id)
+            known = self.batch_cache.known.get(batch_id)
             if known is None:
                 await self._learn(batch_id)
                 continue
@@ -50,12 +52,12 @@
 
     async def _is_closed(self, batch_id: str) -> bool:
         """Tells whether nothing is added to a batch any more for sure."""
-        if self.book.has_end(batch_id):
+        if self.batch_cache.has_end(batch_id):
             return True
         try:
-            record = await self.book.load(batch_id, is_read=True)
+            record = await self.batch_cache.load(batch_id, is_read=True)
         except errors.ServiceError as e:
-            books.log_unloaded(batch_id, e)
+            caches.log_unloaded(batch_id, e)
             return False
         return record is not None and not record.is_open()
 
@@ -69,14 +71,14 @@
         head = entries.read(entry, decode)
         if head is None:
             return
-        self.book.known[batch_id] = books.Known(
+        self.batch_cache.known[batch_id] = caches.Known(
             head.submitted_ms, head.batch.model
         )
 
     async def _forget(self, batch_id: str) -> None:
         prefix = f"{records.RESULTS_PREFIX}{batch_id}/"
         keys = [entry.key for entry in await self.source.entries(prefix)]
-        heads = self.book.feed.under(records.key_of(batch_id, ""))
+        heads = self.batch_cache.feed.under(records.key_of(batch_id, ""))
         # The specification goes last, so that a half-removed batch is found
         # again by the next round.
         keys += sorted(
--- a/src/kingcupscale/gateway/callers.py
+++ b/src/kingcupscale/gateway/callers.py
@@ -6,7 +6,7 @@
 from kingcupscale import errors
 from kingcupscale import events
 from kingcupscale.batches import batch as batches
-from kingcupscale.batches import book as books
+from kingcupscale.batches import cache as caches
 from kingcupscale.batches import record as records
 from kingcupscale.fleet import catalogue
 from kingcupscale.gateway import admission as admissions
@@ -27,7 +27,7 @@
     Args:
         admission: Finds routes and organisations.
         forward: Passes single calls on.
-        book: The batches.
+        batch_cache: The batches.
         clock: Tells the time.
         find_refusal: Returns why the node takes nothing now, or None.
     """
@@ -36,13 +36,13 @@
         self,
         admission: admissions.Admission,
         forward: forwarder.Forwarder,
-        book: books.Book,
+        batch_cache: caches.BatchCache,
         clock: clocks.Clock,
         find_refusal: Callable[[], errors.ServiceError | None],
     ) -> None:
         self.admission = admission
         self.forwarder = forward
-        self.book = book
+        self.batch_cache = batch_cache
         self.clock = clock
         self.find_refusal = find_refusal
 
@@ -86,11 +86,11 @@
         problem = new.find_problem()
         if problem is not None:
             raise errors.ServiceError(errors.ResultCode.BODY_INVALID, problem)
-        known = self.book.records.get(new.id)
+        known = self.batch_cache.records.get(new.id)
         if known and known.batch.organisation != new.organisation:
             raise self.admission.refuse(errors.ResultCode.BATCH_UNKNOWN)
         patience_s = min(STORE_PATIENCE_S, inbound.patience_s - ANSWER_MARGIN_S)
-        is_new = await self.book.accept(new, patience_s)
+        is_new = await self.batch_cache.accept(new, patience_s)
         events.log(
             events.Event.BATCH_ACCEPTED,
             batch=new.id,
@@ -113,9 +113,9 @@
         # As of when the key was looked up, not of when the batch was found.
         doubt = self.admission.find_doubt()
         try:
-            return await self.book.find(batch_id, name)
+            return await self.batch_cache.find(batch_id, name)
         except errors.ServiceError as e:
-            is_there = batch_id in self.book.records
+            is_there = batch_id in self.batch_cache.records
             if doubt and is_there and e.code is errors.ResultCode.BATCH_UNKNOWN:
                 raise doubt from None
             raise
@@ -124,7 +124,7 @@
         self, record: records.Record, after: int, wait_s: float
     ) -> list[batches.Result]:
         """Returns results from a position on, waiting for the first."""
-        return await self.book.read(record, after, wait_s)
+        return await self.batch_cache.read(record, after, wait_s)
 
     def item_body(self, record: records.Record, item_id: str) -> bytes:
         """Returns the body of an item, until its batch is ended.
@@ -144,7 +144,7 @@
             ServiceError: If that is not surely known to the store.
         """
         patience_s = min(STORE_PATIENCE_S, patience_s - ANSWER_MARGIN_S)
-        await self.book.end(record, patience_s)
+        await self.batch_cache.end(record, patience_s)
         events.log(
             events.Event.BATCH_ENDED,
             batch=record.batch.id,
--- a/src/kingcupscale/leading.py
+++ b/src/kingcupscale/leading.py
@@ -53,7 +53,7 @@
         )
         self.coordinator = coordinators.Coordinator(
             service,
-            runtime.book,
+            runtime.batch_cache,
             runtime.roster,
             around.servers,
             runtime.forwarder,
@@ -80,7 +80,7 @@
             lambda: runtime.open_items(service),
         )
         self.nursery: trio.Nursery | None = None
-        self.retention = retention.Retention(runtime.book, around.clock)
+        self.retention = retention.Retention(runtime.batch_cache, around.clock)
         self.forgot_at = 0.0
 
     async def run(self) -> None:
@@ -225,7 +225,7 @@
             return False
         return now - self.probed_at > PROBE_PAUSE_S and any(
             record.is_open() and record.batch.model == self.model
-            for record in self.runtime.book.records.values()
+            for record in self.runtime.batch_cache.records.values()
         )
 
     def _find_successor(self) -> tuple[str, str] | None:
--- a/src/kingcupscale/operating/exposition.py
+++ b/src/kingcupscale/operating/exposition.py
@@ -50,8 +50,8 @@
             f"duties_held {runtime.duties_held()}",
             f"servers_known {len(runtime.roster.servers)}",
             f"servers_usable {len(usable)}",
-            f"batches_known {len(runtime.book.records)}",
-            f"readers_waiting {runtime.book.readers}",
+            f"batches_known {len(runtime.batch_cache.records)}",
+            f"readers_waiting {runtime.batch_cache.readers}",
         ]
 
     def _store_calls(self) -> list[str]:
--- a/src/kingcupscale/peering/relay.py
+++ b/src/kingcupscale/peering/relay.py
@@ -217,12 +217,12 @@
 
     Args:
         feed: The mirror.
-        book: The batches.
+        batch_cache: The batches.
     """
 
-    def __init__(self, feed: feeds.Feed, book: BatchesKnown) -> None:
+    def __init__(self, feed: feeds.Feed, batch_cache: BatchesKnown) -> None:
         self.feed = feed
-        self.book = book
+        self.batch_cache = batch_cache
         self.encoded: dict[tuple[str, int], bytes] = {}
 
     async def __call__(self, request: message.Request) -> message.Response:
@@ -250,10 +250,10 @@
         )
 
     async def _copy(self, question: CopyQuestion) -> message.Response:
-        record = self.book.records.get(question.batch)
+        record = self.batch_cache.records.get(question.batch)
         if record is None and not self.feed.is_following:
             # The others ask here, so that one node reads it for all of them.
-            record = await self.book.load(
+            record = await self.batch_cache.load(
                 question.batch, is_read=True, asks_nodes=False
             )
         if record is None or not record.is_current:
@@ -286,7 +286,7 @@
         batch_id = records.batch_of(entry.key)
         if batch_id is None:
             return True
-        model = self.book.model_of(batch_id)
+        model = self.batch_cache.model_of(batch_id)
         return model is None or interest.includes(batch_id, model)
 
     def _lacks(self, entry: stores.Entry, interest: interests.Interest) -> bool:
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -14,7 +14,7 @@
 from kingcupscale import readiness
 from kingcupscale import retirements
 from kingcupscale import surroundings
-from kingcupscale.batches import book as books
+from kingcupscale.batches import cache as caches
 from kingcupscale.batches import keeper
 from kingcupscale.batches import record as records
 from kingcupscale.fleet import catalogue
@@ -123,15 +123,15 @@
             lambda: self.feed.regained_at,
             lambda: self.feed.is_lost,
         )
-        self.book = books.Book(
+        self.batch_cache = caches.BatchCache(
             self.feed,
             detour.DetourStore(around.store, self.peers.commit),
             self.clock,
             settings.value_bytes,
             self._fetch_copy,
         )
-        self.book.on_change = self._wake_coordinators
-        self.relay = relay.RelayHandler(self.feed, self.book)
+        self.batch_cache.on_change = self._wake_coordinators
+        self.relay = relay.RelayHandler(self.feed, self.batch_cache)
         ttl_s = max(
             settings.least_lease_s, LEASE_SHARE * settings.bounds.lease_s
         )
@@ -192,7 +192,7 @@
         self.callers = callers.Callers(
             admission,
             self.forwarder,
-            self.book,
+            self.batch_cache,
             self.clock,
             self.readiness.find_refusal,
         )
@@ -268,7 +268,7 @@
         routes = {route.name for route in configured.routes_to(service)}
         return sum(
             len(record.batch.items) - len(record.results)
-            for record in self.book.records.values()
+            for record in self.batch_cache.records.values()
             if record.is_open() and record.batch.route in routes
         )
 
@@ -288,13 +288,13 @@
         if self.leads() and not self.feed.is_lost:
             return None
         return await self.peers.follow(
-            position, self.book.interest, any_node=self.feed.is_lost
+            position, self.batch_cache.interest, any_node=self.feed.is_lost
         )
 
     async def _fetch_copy(self, batch_id: str) -> records.RecordCopy | None:
         """Returns a batch from a node that is likely to know it."""
         nodes = self.peers.leaders()
-        model = self.book.model_of(batch_id)
+        model = self.batch_cache.model_of(batch_id)
         for service in self.services if model else []:
             duty = leading.model_duty(service, model or "")
             nodes.append(self.peers.holder(duty))
@@ -310,13 +310,13 @@
                 for duty in self.models.values()
                 if duty.wants_batches()
             }
-            self.book.want(everything, frozenset(models))
+            self.batch_cache.want(everything, frozenset(models))
             await self.clock.rest(WANT_PAUSE_S)
 
     def _feed_pause_s(self) -> float:
         if self.leads():
             return LEADER_PAUSE_S
-        is_needed = self.book.readers or any(
+        is_needed = self.batch_cache.readers or any(
             duty.coordinator.active for duty in self.services.values()
         )
         if self.feed.is_following and is_needed:
@@ -341,7 +341,7 @@
         async with trio.open_nursery() as nursery:
             for task in (
                 self.feed.run,
-                keeper.Keeper(self.book, self.clock).run,
+                keeper.Keeper(self.batch_cache, self.clock).run,
                 self._keep_batches,
                 self.session.run,
                 self.presence.run,
--- a/tests/batches/fleets.py
+++ b/tests/batches/fleets.py
@@ -6,7 +6,7 @@
 import trio
 
 from kingcupscale.batches import batch
-from kingcupscale.batches import book as books
+from kingcupscale.batches import cache as caches
 from kingcupscale.batches import keeper
 from kingcupscale.batches import record as records
 from kingcupscale.fakes import virtualtime
@@ -119,21 +119,23 @@
         self.feed = feeds.Feed(
             fleet.store, clock, name, self._pause_s, self._follow
         )
-        self.book = books.Book(
+        self.batch_cache = caches.BatchCache(
             self.feed,
             detour.DetourStore(fleet.store, self._commit_elsewhere),
             clock,
             1 << 16,
             self._fetch_copy,
         )
-        self.handler = relay.RelayHandler(self.feed, self.book)
+        self.handler = relay.RelayHandler(self.feed, self.batch_cache)
         self.scope = trio.CancelScope()
 
     async def run(self):
         with self.scope:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.feed.run)
-                nursery.start_soon(keeper.Keeper(self.book, self.clock).run)
+                nursery.start_soon(
+                    keeper.Keeper(self.batch_cache, self.clock).run
+                )
 
     def _pause_s(self):
         return self.fleet.rng.choice([0.0, 0.05, 0.3])
@@ -153,7 +155,7 @@
             return None
         try:
             return await self._client().follow(
-                "n", position, self.book.interest
+                "n", position, self.batch_cache.interest
             )
         except relay.RelayError:
             return None
@@ -205,7 +207,7 @@
 
     def set_interest(self, node):
         models = frozenset(m for m in MODELS if self.rng.random() < 0.3)
-        node.book.want(node.is_leader, models)
+        node.batch_cache.want(node.is_leader, models)
 
     async def write(self, batch_id, is_ended=False):
         """Has a batch accepted by one node and its results listed by others."""
@@ -215,23 +217,23 @@
         ]
         model = self.rng.choice(MODELS)
         new = batch.Batch(batch_id, "o", "r", "h", 0, model, 1, 1, items)
-        await self.rng.choice(self.nodes).book.accept(new, 10.0)
+        await self.rng.choice(self.nodes).batch_cache.accept(new, 10.0)
         await trio.sleep(self.rng.uniform(0.0, 0.5))
         while True:
-            book = self.rng.choice(self.nodes).book
-            record = await book.find(batch_id, "o")
+            batch_cache = self.rng.choice(self.nodes).batch_cache
+            record = await batch_cache.find(batch_id, "o")
             left = [i for i in items if not record.is_listed(i.id)]
             if not left:
                 break
             chosen = left[: self.rng.randint(1, 4)]
             state = batch.ResultState.DONE
             results = [batch.Result(i.id, state, i.id) for i in chosen]
-            await book.append([(record, records.Chunk(results))])
+            await batch_cache.append([(record, records.Chunk(results))])
             await trio.sleep(self.rng.choice([0.0, 0.02, 0.3]))
         if is_ended:
             await trio.sleep(self.rng.uniform(0.0, 2.0))
-            book = self.rng.choice(self.nodes).book
-            await book.end(await book.find(batch_id, "o"), 5.0)
+            batch_cache = self.rng.choice(self.nodes).batch_cache
+            await batch_cache.end(await batch_cache.find(batch_id, "o"), 5.0)
 
     async def read(self, batch_ids):
         while True:
@@ -240,8 +242,8 @@
             key = records.key_of(self.rng.choice(batch_ids), "specification/0")
             if key in self.store.entries:
                 batch_id = key.split("/")[-3]
-                record = await node.book.find(batch_id, "o")
-                await node.book.read(record, 0, 0.2)
+                record = await node.batch_cache.find(batch_id, "o")
+                await node.batch_cache.read(record, 0, 0.2)
 
 
 class Pair:
@@ -256,8 +258,8 @@
         self.store = fleet.store
         self.store.rng = fleet.rng
         self.leader, self.follower = fleet.nodes
-        self.leader.book.want(True, frozenset())
-        self.follower.book.want(False, frozenset())
+        self.leader.batch_cache.want(True, frozenset())
+        self.follower.batch_cache.want(False, frozenset())
         for node in fleet.nodes:
             nursery.start_soon(node.run)
 
@@ -275,15 +277,15 @@
             for n in range(items)
         ]
         new = batch.Batch("b", "o", "r", "h", 0, "alpha", 1, 1, made)
-        await (node or self.leader).book.accept(new, 5.0)
+        await (node or self.leader).batch_cache.accept(new, 5.0)
 
     async def list_one(self):
         """Has the leader list one more result."""
-        record = self.leader.book.records["b"]
+        record = self.leader.batch_cache.records["b"]
         item = f"i{len(record.results)}"
         result = batch.Result(item, batch.ResultState.DONE, item)
         chunk = records.Chunk([result])
-        await self.leader.book.append([(record, chunk)])
+        await self.leader.batch_cache.append([(record, chunk)])
 
     def list_unheard(self):
         """Has a first result listed in a history that no node is shown."""
@@ -293,9 +295,9 @@
 
     async def read(self, node=None):
         """Returns how many results a node shows, the follower if none."""
-        book = (node or self.follower).book
-        record = await book.find("b", "o")
-        return len(await book.read(record, 0, 0.0))
+        batch_cache = (node or self.follower).batch_cache
+        record = await batch_cache.find("b", "o")
+        return len(await batch_cache.read(record, 0, 0.0))
 
 
 @contextlib.asynccontextmanager
--- a/tests/batches/test_book.py
+++ b/tests/batches/test_cache.py
@@ -55,8 +55,8 @@
 
     async def _check(self, node, batch_id):
         # What a reader is shown, which may be brought up to date first.
-        record = await node.book.find(batch_id, "o")
-        await node.book.read(record, 0, 0.0)
+        record = await node.batch_cache.find(batch_id, "o")
+        await node.batch_cache.read(record, 0, 0.0)
         self.assertEqual(len(record.results), fleets.ITEMS, batch_id)
         self.assertEqual(len(record.listed), fleets.ITEMS)
         self.assertEqual(len(record.batch.items), fleets.ITEMS)
@@ -77,7 +77,7 @@
     @virtual.on_virtual_time
     async def test_copy_older_than_the_mirror_is_not_taken(self):
         async with fleets.opened_pair() as pair:
-            record = pair.leader.book.records["b"]
+            record = pair.leader.batch_cache.records["b"]
             old = record.copy(pair.follower.feed.revision)
             await pair.list_one()
             await trio.sleep(1)
@@ -85,20 +85,20 @@
             async def fetch_old(batch_id):
                 return old
 
-            pair.follower.book.source.fetch_copy = fetch_old
+            pair.follower.batch_cache.source.fetch_copy = fetch_old
             self.assertEqual(await pair.read(), 1)
 
     @virtual.on_virtual_time
     async def test_result_that_comes_during_a_load_is_shown(self):
         async with fleets.opened_pair() as pair:
-            copy = pair.leader.book.records["b"].copy(10**6)
+            copy = pair.leader.batch_cache.records["b"].copy(10**6)
 
             async def fetch_slowly(batch_id):
                 await pair.list_one()
                 await trio.sleep(1)
                 return copy
 
-            pair.follower.book.source.fetch_copy = fetch_slowly
+            pair.follower.batch_cache.source.fetch_copy = fetch_slowly
             self.assertEqual(await pair.read(), 1)
 
     @virtual.on_virtual_time
@@ -136,14 +136,16 @@
         async with fleets.opened_pair() as pair:
             pair.follower.is_leader = True
             await trio.sleep(1)
-            copy = pair.leader.book.records["b"].copy(pair.store.revision)
+            copy = pair.leader.batch_cache.records["b"].copy(
+                pair.store.revision
+            )
 
             async def fetch_slowly(batch_id):
                 pair.list_unheard()
                 await trio.sleep(2)
                 return copy
 
-            pair.follower.book.source.fetch_copy = fetch_slowly
+            pair.follower.batch_cache.source.fetch_copy = fetch_slowly
             self.assertEqual(await pair.read(), 1)
 
     @virtual.on_virtual_time
@@ -168,9 +170,9 @@
         async with fleets.opened_pair(items=1) as pair:
             await pair.list_one()
             await trio.sleep(1)
-            pair.leader.book.records.clear()
+            pair.leader.batch_cache.records.clear()
             self.assertEqual(await pair.read(), 1)
-            self.assertIn("b", pair.leader.book.records)
+            self.assertIn("b", pair.leader.batch_cache.records)
 
     @virtual.on_virtual_time
     async def test_two_writers_get_two_positions(self):
@@ -179,10 +181,10 @@
             listed = []
 
             async def list_item(node, item):
-                record = node.book.records["b"]
+                record = node.batch_cache.records["b"]
                 result = batch.Result(item, batch.ResultState.DONE, item)
                 chunk = records.Chunk([result])
-                listed.append(await node.book.append([(record, chunk)]))
+                listed.append(await node.batch_cache.append([(record, chunk)]))
 
             async with trio.open_nursery() as writers:
                 writers.start_soon(list_item, pair.leader, "i0")
@@ -194,7 +196,9 @@
     @virtual.on_virtual_time
     async def test_old_closed_batch_is_removed_from_the_store(self):
         async with fleets.opened_pair(items=1) as pair:
-            keeper = retention.Retention(pair.leader.book, pair.leader.clock)
+            keeper = retention.Retention(
+                pair.leader.batch_cache, pair.leader.clock
+            )
             await trio.sleep(20)
             await keeper.forget_older_than(10.0)
             self.assertTrue(pair.store.entries)
@@ -208,23 +212,27 @@
         async with fleets.opened_pair() as pair:
             await trio.sleep(20)
             # As on a node that has just come to lead the service.
-            pair.leader.book.records.clear()
-            keeper = retention.Retention(pair.leader.book, pair.leader.clock)
+            pair.leader.batch_cache.records.clear()
+            keeper = retention.Retention(
+                pair.leader.batch_cache, pair.leader.clock
+            )
             await keeper.forget_older_than(10.0)
             self.assertEqual(len(pair.store.entries), 1)
 
     @virtual.on_virtual_time
     async def test_batch_whose_end_is_known_is_not_opened_by_an_old_copy(self):
         async with fleets.opened_pair() as pair:
-            open_copy = pair.leader.book.records["b"].copy(10**6)
+            open_copy = pair.leader.batch_cache.records["b"].copy(10**6)
 
             async def fetch_old(batch_id):
                 return open_copy
 
-            pair.follower.book.source.fetch_copy = fetch_old
-            await pair.leader.book.end(pair.leader.book.records["b"], 5.0)
+            pair.follower.batch_cache.source.fetch_copy = fetch_old
+            await pair.leader.batch_cache.end(
+                pair.leader.batch_cache.records["b"], 5.0
+            )
             await trio.sleep(1)
-            record = await pair.follower.book.find("b", "o")
+            record = await pair.follower.batch_cache.find("b", "o")
             self.assertTrue(record.is_ended)
 
     @parameterized.parameterized.expand(
@@ -238,11 +246,15 @@
             await pair.list_one()
             await trio.sleep(1)
             late = await pair.add(is_leader)
-            late.book.want(True, frozenset())
-            await pair.leader.book.end(pair.leader.book.records["b"], 5.0)
+            late.batch_cache.want(True, frozenset())
+            await pair.leader.batch_cache.end(
+                pair.leader.batch_cache.records["b"], 5.0
+            )
             await trio.sleep(1)
-            record = await late.book.find("b", "o")
-            self.assertEqual(len(await late.book.read(record, 0, 0.0)), 1)
+            record = await late.batch_cache.find("b", "o")
+            self.assertEqual(
+                len(await late.batch_cache.read(record, 0, 0.0)), 1
+            )
             self.assertTrue(record.is_ended)
 
     @virtual.on_virtual_time
@@ -251,7 +263,7 @@
             await pair.accept(items=4, body=bytes(30_000))
             await trio.sleep(1)
             late = await pair.add(is_leader=True)
-            leader = pair.leader.book
+            leader = pair.leader.batch_cache
             scan = pair.store.scan
 
             async def scan_slowly(prefix, after=""):
@@ -261,7 +273,7 @@
                 return page
 
             pair.store.scan = scan_slowly
-            record = await late.book.load("b", True, asks_nodes=False)
+            record = await late.batch_cache.load("b", True, asks_nodes=False)
             self.assertEqual(len(record.batch.items), 4)
 
     @parameterized.parameterized.expand([("none",), ("refused",)])
@@ -282,17 +294,19 @@
                 nursery.start_soon(self._load_in_vain, pair.leader)
                 await trio.sleep(0.5)
                 await pair.accept(node=pair.follower)
-            self.assertIn("b", pair.leader.book.records)
+            self.assertIn("b", pair.leader.batch_cache.records)
 
     async def _load_in_vain(self, node):
         with contextlib.suppress(errors.ServiceError):
-            await node.book.load("b", is_read=True, asks_nodes=False)
+            await node.batch_cache.load("b", is_read=True, asks_nodes=False)
 
     @virtual.on_virtual_time
     async def test_readers_of_unknown_batches_do_not_make_the_mirror_old(self):
         async with fleets.opened_pair(items=0) as pair:
             for number in range(60):
-                await pair.follower.book.load(f"none-{number}", is_read=True)
+                await pair.follower.batch_cache.load(
+                    f"none-{number}", is_read=True
+                )
                 await trio.sleep(0.1)
                 self.assertLess(pair.follower.feed.age_s(), 2.5)
 
--- a/tests/platform/test_ended.py
+++ b/tests/platform/test_ended.py
@@ -178,15 +178,15 @@
             and not n.runtime.leads()
         )
         await site.submit(node)
-        book = node.runtime.book
-        book.reads["b1"] -= keeper.READ_KEPT_S
+        batch_cache = node.runtime.batch_cache
+        batch_cache.reads["b1"] -= keeper.READ_KEPT_S
         # Until its interest is set, nothing but the read keeps the batch.
         node.runtime.models[DUTY].take_over(holder.name)
-        before = book.records["b1"]
+        before = batch_cache.records["b1"]
         with trio.move_on_after(0.01):
-            await keeper.Keeper(book, site.clock).run()
+            await keeper.Keeper(batch_cache, site.clock).run()
         await trio.sleep(0.5)
-        self.assertIsNot(book.records["b1"], before)
+        self.assertIsNot(batch_cache.records["b1"], before)
         return node
 
     @virtual.on_virtual_time
@@ -214,7 +214,7 @@
             texts = [len(s.events) for s in coordinator.open_samples()]
             self.assertGreater(min(texts), 15)
             held = {s.record for s in coordinator.open_samples()}
-            self.assertEqual(held, {node.runtime.book.records["b1"]})
+            self.assertEqual(held, {node.runtime.batch_cache.records["b1"]})
             results = await site.read_all(site.other(node))
             self.assertEqual(
                 [r["text"] for r in results], [standin.text_of(60)] * 4
--- a/tests/platform/test_herd.py
+++ b/tests/platform/test_herd.py
@@ -99,8 +99,8 @@
         self, _, value_bytes
     ):
         async with standin.opened(nodes=1) as site:
-            book = site.nodes[0].runtime.book
-            book.part_bytes = value_bytes
+            batch_cache = site.nodes[0].runtime.batch_cache
+            batch_cache.part_bytes = value_bytes
             await _submit(site, "b1")
             before = await site.read_all(site.nodes[0], "b1")
             prefix = records.key_of("b1", records.SPECIFICATION)
