--- a/src/kingcupscale/batches/keeper.py
+++ b/src/kingcupscale/batches/maintenance.py
@@ -7,14 +7,14 @@
 
 # A batch that is read here is kept up to date for this long after a read;
 # readers ask about twice a second.
-READ_KEPT_S = 10.0
+READ_TTL_S = 10.0
 # Texts of batches that nothing is added to any more, in bytes.
 CLOSED_BYTES = 8_000_000
 PAUSE_S = 0.1
 SWEEP_S = 1.0
 
 
-class Keeper:
+class CacheMaintainer:
     """Loads the batches that are wanted, and lets go of the rest.
 
     Args:
@@ -73,7 +73,7 @@
         self.batch_cache.reads = {
             batch_id: at
             for batch_id, at in self.batch_cache.reads.items()
-            if now - at < READ_KEPT_S
+            if now - at < READ_TTL_S
         }
         self.batch_cache.update_interest()
         closed_bytes = 0
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -15,7 +15,7 @@
 from kingcupscale import retirements
 from kingcupscale import surroundings
 from kingcupscale.batches import cache as caches
-from kingcupscale.batches import keeper
+from kingcupscale.batches import maintenance
 from kingcupscale.batches import record as records
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import peers
@@ -341,7 +341,7 @@
         async with trio.open_nursery() as nursery:
             for task in (
                 self.feed.run,
-                keeper.Keeper(self.batch_cache, self.clock).run,
+                maintenance.CacheMaintainer(self.batch_cache, self.clock).run,
                 self._keep_batches,
                 self.session.run,
                 self.presence.run,
--- a/tests/batches/fleets.py
+++ b/tests/batches/fleets.py
@@ -7,7 +7,7 @@
 
 from kingcupscale.batches import batch
 from kingcupscale.batches import cache as caches
-from kingcupscale.batches import keeper
+from kingcupscale.batches import maintenance
 from kingcupscale.batches import record as records
 from kingcupscale.fakes import virtualtime
 from kingcupscale.peering import calls
@@ -134,7 +134,9 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.feed.run)
                 nursery.start_soon(
-                    keeper.Keeper(self.batch_cache, self.clock).run
+                    maintenance.CacheMaintainer(
+                        self.batch_cache, self.clock
+                    ).run
                 )
 
     def _pause_s(self):
--- a/tests/platform/test_ended.py
+++ b/tests/platform/test_ended.py
@@ -5,7 +5,7 @@
 import parameterized
 import trio
 
-from kingcupscale.batches import keeper
+from kingcupscale.batches import maintenance
 from kingcupscale.batches import sample as samples
 from kingcupscale.platform import names
 from kingcupscale.storage import store as stores
@@ -179,12 +179,12 @@
         )
         await site.submit(node)
         batch_cache = node.runtime.batch_cache
-        batch_cache.reads["b1"] -= keeper.READ_KEPT_S
+        batch_cache.reads["b1"] -= maintenance.READ_TTL_S
         # Until its interest is set, nothing but the read keeps the batch.
         node.runtime.models[DUTY].take_over(holder.name)
         before = batch_cache.records["b1"]
         with trio.move_on_after(0.01):
-            await keeper.Keeper(batch_cache, site.clock).run()
+            await maintenance.CacheMaintainer(batch_cache, site.clock).run()
         await trio.sleep(0.5)
         self.assertIsNot(batch_cache.records["b1"], before)
         return node
