--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -12,11 +12,11 @@
 from kingcupscale.batches import batch as batches
 from kingcupscale.batches import cache as caches
 from kingcupscale.batches import generation
-from kingcupscale.batches import listing
 from kingcupscale.batches import moving
 from kingcupscale.batches import permission as permissions
 from kingcupscale.batches import placement
 from kingcupscale.batches import record as records
+from kingcupscale.batches import resultwriter
 from kingcupscale.batches import sample as samples
 from kingcupscale.batches import scoring
 from kingcupscale.fleet import catalogue
@@ -93,7 +93,7 @@
             self._finish,
             self._fail,
         )
-        self.lister = listing.Lister(
+        self.result_writer = resultwriter.ResultWriter(
             service, batch_cache, clock, self._samples_to_list
         )
         self.measures = measures
@@ -129,7 +129,7 @@
             for sample in [*self.open_samples(), *self.leftovers]
             if sample.record.batch.model == model
             and (sample.events or sample.result)
-            and not sample.record.is_listed(sample.id)
+            and not sample.record.has_result(sample.id)
         ]
 
     def _samples_to_list(self) -> list[samples.Sample]:
@@ -137,7 +137,7 @@
             sample
             for sample in self.leftovers
             if sample.record.is_open()
-            and not sample.record.is_listed(sample.id)
+            and not sample.record.has_result(sample.id)
         ]
         return [*self.open_samples(), *self.leftovers]
 
@@ -175,7 +175,7 @@
             sample.result = self.results.pop(place)
             sample.stage = samples.Stage.FINISHED
             sample.scope.cancel()
-            self.lister.finished.set()
+            self.result_writer.has_results.set()
         elif (
             sample.stage is not samples.Stage.SCORING
             and len(text) > len(sample.events) + ADOPTED_LEAD
@@ -206,7 +206,7 @@
     async def run(self) -> None:
         """Runs batches while active, until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.lister.run)
+            nursery.start_soon(self.result_writer.run)
             while True:
                 self._follow_batches()
                 self.dispatch(nursery)
@@ -273,7 +273,7 @@
             unfinished=[
                 [s.id, s.stage.value, s.server, len(s.events)]
                 for s in progress.samples.values()
-                if not progress.record.is_listed(s.id)
+                if not progress.record.has_result(s.id)
             ][:20],
         )
 
@@ -442,10 +442,10 @@
             metrics.Measure.SAMPLE_MS,
             1000 * self._age_s(sample.record),
         )
-        self.lister.finished.set()
+        self.result_writer.has_results.set()
 
     def _fail(self, sample: samples.Sample, reason: str) -> None:
         """Makes the result of a sample that can't be done."""
         sample.fail()
         events.log(events.Event.SAMPLE_FAILED, item=sample.id, reason=reason)
-        self.lister.finished.set()
+        self.result_writer.has_results.set()
--- a/src/kingcupscale/batches/record.py
+++ b/src/kingcupscale/batches/record.py
@@ -98,7 +98,7 @@
     is_current: bool = True
     misses: int = 0
 
-    def is_listed(self, item: str) -> bool:
+    def has_result(self, item: str) -> bool:
         """Tells whether an item has its result."""
         return item in self.listed
 
--- a/src/kingcupscale/batches/listing.py
+++ b/src/kingcupscale/batches/resultwriter.py
@@ -23,7 +23,7 @@
 WRITE_BATCHES = 16
 
 
-class Lister:
+class ResultWriter:
     """Lists the results of one service's samples.
 
     Args:
@@ -47,14 +47,14 @@
         self.batch_cache = batch_cache
         self.clock = clock
         self.find_samples = find_samples
-        self.finished = trio.Event()
+        self.has_results = trio.Event()
 
     async def run(self) -> None:
         """Lists finished samples, several by one write."""
         while True:
-            await self.finished.wait()
+            await self.has_results.wait()
             await self.clock.sleep(GATHER_S)
-            self.finished = trio.Event()
+            self.has_results = trio.Event()
             try:
                 await self._commit()
             except (stores.StoreError, errors.ServiceError) as e:
@@ -64,23 +64,23 @@
                     reason=str(e),
                 )
                 await self.clock.sleep(COMMIT_RETRY_S)
-                self.finished.set()
+                self.has_results.set()
 
     async def _commit(self) -> None:
         additions = self._gather()
         if not additions:
             return
-        is_listed = await self.batch_cache.append(additions)
+        has_result = await self.batch_cache.append(additions)
         for record, chunk in additions:
             events.log(
                 events.Event.RESULTS_LISTED,
                 batch=record.batch.id,
                 items=[result.item for result in chunk.results],
-                listed=is_listed,
+                listed=has_result,
                 position=len(record.results),
             )
         # What did not fit, or met another writer, is looked at again.
-        self.finished.set()
+        self.has_results.set()
 
     def _gather(self) -> list[tuple[records.Record, records.Chunk]]:
         """Returns the results that are not listed yet, as far as fits."""
@@ -88,7 +88,7 @@
         size = 0
         for sample in self.find_samples():
             record = sample.record
-            if sample.result is None or record.is_listed(sample.id):
+            if sample.result is None or record.has_result(sample.id):
                 continue
             if size > WRITE_BYTES:
                 break
--- a/tests/batches/fleets.py
+++ b/tests/batches/fleets.py
@@ -224,7 +224,7 @@
         while True:
             batch_cache = self.rng.choice(self.nodes).batch_cache
             record = await batch_cache.find(batch_id, "o")
-            left = [i for i in items if not record.is_listed(i.id)]
+            left = [i for i in items if not record.has_result(i.id)]
             if not left:
                 break
             chosen = left[: self.rng.randint(1, 4)]
