--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -130,7 +130,7 @@
     ),
     Break(
         "a batch that may be kept is not said to be refused",
-        "batches/acceptance.py",
+        "batches/transactions.py",
         "    if may_have_run:\n        raise",
         "    if False:\n        raise",
         SITE + "test_submissions.SubmissionTest"
@@ -320,7 +320,7 @@
     ),
     Break(
         "an accepted batch is in the store",
-        "batches/acceptance.py",
+        "batches/transactions.py",
         "            revision = await store.commit(transaction)\n"
         "            return revision is not None",
         "            return True",
@@ -448,7 +448,7 @@
     ),
     Break(
         "an ended batch takes little",
-        "batches/acceptance.py",
+        "batches/transactions.py",
         "for number in range(parts):",
         "for number in range(0):",
         SITE + "test_herd",
--- a/src/kingcupscale/batches/cache.py
+++ b/src/kingcupscale/batches/cache.py
@@ -8,11 +8,11 @@
 from kingcupscale import clock as clocks
 from kingcupscale import errors
 from kingcupscale import events
-from kingcupscale.batches import acceptance
 from kingcupscale.batches import batch
 from kingcupscale.batches import interest as interests
 from kingcupscale.batches import record as records
 from kingcupscale.batches import source as sources
+from kingcupscale.batches import transactions
 from kingcupscale.storage import detour
 from kingcupscale.storage import entries
 from kingcupscale.storage import feed as feeds
@@ -254,9 +254,9 @@
             return False
         self._note_read(new.id)
         now_ms = int(self.clock.now().timestamp() * 1000)
-        transaction = acceptance.make(new, now_ms, self.part_bytes)
+        transaction = transactions.make_acceptance(new, now_ms, self.part_bytes)
         reloads = self.reloads
-        is_new = await acceptance.commit_for_sure(
+        is_new = await transactions.commit_with_retries(
             self.store, self.clock, transaction, patience_s, new.id
         )
         if is_new:
@@ -395,8 +395,8 @@
         """
         if record.is_ended:
             return
-        transaction = acceptance.make_end(record, self._parts_of(record))
-        await acceptance.commit_for_sure(
+        transaction = transactions.make_end(record, self._parts_of(record))
+        await transactions.commit_with_retries(
             self.store, self.clock, transaction, patience_s, record.batch.id
         )
         record.note_ended()
--- a/src/kingcupscale/batches/acceptance.py
+++ b/src/kingcupscale/batches/transactions.py
@@ -15,7 +15,9 @@
 RETRY_MOST_S = 0.6
 
 
-def make(new: batch.Batch, now_ms: int, part_bytes: int) -> stores.Transaction:
+def make_acceptance(
+    new: batch.Batch, now_ms: int, part_bytes: int
+) -> stores.Transaction:
     """Returns the write that keeps a batch, on condition that it is new.
 
     Args:
@@ -63,7 +65,7 @@
     return stores.Transaction([stores.Condition(key, stores.ABSENT)], puts)
 
 
-async def commit_for_sure(
+async def commit_with_retries(
     store: detour.DetourStore,
     clock: clocks.Clock,
     transaction: stores.Transaction,
