--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -247,7 +247,7 @@
     ),
     Break(
         "copies pass over a node that is gone",
-        "batches/copying.py",
+        "batches/replication.py",
         "            self.note_failure(name)\n",
         "",
         SITE + "test_lifecycle.SuccessionTest",
@@ -356,10 +356,10 @@
     Break(
         "a planned stop hands over the last of all texts",
         "leading.py",
-        "            await self.copier.hand_over()\n"
+        "            await self.replicator.hand_over()\n"
         "        self.coordinator.set_active(self.model, False)\n",
         "            self.coordinator.set_active(self.model, False)\n"
-        "            await self.copier.hand_over()\n",
+        "            await self.replicator.hand_over()\n",
         SITE + "test_lifecycle",
     ),
     Break(
--- a/src/kingcupscale/batches/copying.py
+++ b/src/kingcupscale/batches/replication.py
@@ -16,7 +16,7 @@
 SUCCESSORS_MOST = 3
 
 
-class Copier:
+class SampleReplicator:
     """Sends what one model's samples have added to one other node.
 
     Args:
--- a/src/kingcupscale/leading.py
+++ b/src/kingcupscale/leading.py
@@ -7,8 +7,8 @@
 from kingcupscale import candidates
 from kingcupscale import events
 from kingcupscale.batches import coordinator as coordinators
-from kingcupscale.batches import copying
 from kingcupscale.batches import loader as loaders
+from kingcupscale.batches import replication
 from kingcupscale.batches import retention
 from kingcupscale.capacity import fleetsize
 from kingcupscale.peering import calls
@@ -175,7 +175,7 @@
             runtime.feed,
             around.clock,
         )
-        self.copier = copying.Copier(
+        self.replicator = replication.SampleReplicator(
             self.coordinator,
             model,
             around.copies,
@@ -200,7 +200,7 @@
     async def hand_over(self) -> None:
         """Has the next node go on with the samples and stops running them."""
         if self.coordinator.is_active(self.model):
-            await self.copier.hand_over()
+            await self.replicator.hand_over()
         self.coordinator.set_active(self.model, False)
 
     def take_over(self, sender: str) -> None:
@@ -241,7 +241,7 @@
         """Contends for the model and runs its samples while held."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_holder)
-            nursery.start_soon(self.copier.run)
+            nursery.start_soon(self.replicator.run)
             await tenures.hold(
                 self.tenure, self._do_nothing, self._rank, DUTY_PAUSE_S
             )
@@ -285,7 +285,7 @@
         holders = self.runtime.candidates.holders()
         if target is None or target[0] in holders.values():
             return
-        if not await self.copier.hand_over():
+        if not await self.replicator.hand_over():
             return
         self.coordinator.set_active(self.model, False)
         try:
--- a/tests/platform/test_lifecycle.py
+++ b/tests/platform/test_lifecycle.py
@@ -157,7 +157,7 @@
             begun = len(site.runs)
             holder.runtime.models[
                 f"engines/{standin.MODEL}"
-            ].copier.send = _send_nothing
+            ].replicator.send = _send_nothing
             await trio.sleep(4)
             self.assertEqual(len(site.runs), begun)
 
@@ -171,7 +171,7 @@
                 server.length = 600
             await site.submit(site.other(holder), items=6)
             await trio.sleep(3)
-            ranking = holder.runtime.models[duty].copier.find_target()
+            ranking = holder.runtime.models[duty].replicator.find_target()
             (next_one,) = (n for n in site.nodes if n.name == ranking[0])
             peers = next_one.runtime.peers
             # As after a question that came to nothing.
