--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -42,7 +42,7 @@
     ),
     Break(
         "no result is missed by a node that takes a copy",
-        "batches/source.py",
+        "batches/fetching.py",
         "if copy is None or copy.revision < revision:",
         "if copy is None:",
         CACHE,
@@ -336,7 +336,7 @@
     ),
     Break(
         "a batch that may be there is not said to be unknown",
-        "batches/source.py",
+        "batches/fetching.py",
         "        except stores.StoreError as e:\n"
         "            reason = e.reason\n"
         "        if asks_nodes and await",
--- a/src/kingcupscale/batches/cache.py
+++ b/src/kingcupscale/batches/cache.py
@@ -9,9 +9,9 @@
 from kingcupscale import errors
 from kingcupscale import events
 from kingcupscale.batches import batch
+from kingcupscale.batches import fetching
 from kingcupscale.batches import interest as interests
 from kingcupscale.batches import record as records
-from kingcupscale.batches import source as sources
 from kingcupscale.batches import transactions
 from kingcupscale.storage import detour
 from kingcupscale.storage import entries
@@ -82,13 +82,13 @@
         store: detour.DetourStore,
         clock: clocks.Clock,
         value_bytes: int,
-        fetch_copy: sources.FetchCopy,
+        fetch_snapshot: fetching.FetchSnapshot,
     ) -> None:
         self.feed = feed
         self.store = store
         self.clock = clock
         self.part_bytes = int(value_bytes * VALUE_SHARE)
-        self.source = sources.Source(feed, store, clock, fetch_copy)
+        self.fetcher = fetching.BatchFetcher(feed, store, clock, fetch_snapshot)
         self.records: dict[str, records.Record] = {}
         self.interest = interests.Interest()
         self.known: dict[str, Known] = {}
@@ -307,7 +307,7 @@
         self.update_interest()
         record = None
         try:
-            record = await self.source.fetch(batch_id, asks_nodes)
+            record = await self.fetcher.fetch(batch_id, asks_nodes)
             self.unexamined.discard(batch_id)
         finally:
             self._end_load(batch_id, record, is_read)
@@ -358,7 +358,7 @@
             ServiceError: ``STORE_UNAVAILABLE`` if results may be missing.
         """
         if after > len(record.results) or not record.is_current:
-            await self.source.refresh(record)
+            await self.fetcher.refresh(record)
         if after >= len(record.results) and record.is_open():
             self.readers += 1
             self.feed.hurry()
@@ -367,7 +367,7 @@
             finally:
                 self.readers -= 1
         if after >= len(record.results) and self._may_lack_results(record):
-            await self.source.refresh(record)
+            await self.fetcher.refresh(record)
         return record.page(after)
 
     def _may_lack_results(self, record: records.Record) -> bool:
@@ -429,7 +429,7 @@
         revision = await self.store.commit(stores.Transaction(conditions, puts))
         if revision is None:
             for record, _ in additions:
-                await self.source.refresh(record)
+                await self.fetcher.refresh(record)
             return False
         for put in puts:
             self.feed.apply(
--- a/src/kingcupscale/batches/source.py
+++ b/src/kingcupscale/batches/fetching.py
@@ -17,10 +17,10 @@
 RETRY_AFTER_S = 0.5
 
 # Returns another node's copy of a batch, if one has it.
-FetchCopy = Callable[[str], Awaitable[records.RecordCopy | None]]
+FetchSnapshot = Callable[[str], Awaitable[records.RecordSnapshot | None]]
 
 
-class Source:
+class BatchFetcher:
     """Gets batches, and brings them up to date.
 
     Args:
@@ -35,12 +35,12 @@
         feed: feeds.Feed,
         store: detour.DetourStore,
         clock: clocks.Clock,
-        fetch_copy: FetchCopy,
+        fetch_snapshot: FetchSnapshot,
     ) -> None:
         self.feed = feed
         self.store = store
         self.clock = clock
-        self.fetch_copy = fetch_copy
+        self.fetch_snapshot = fetch_snapshot
 
     async def fetch(
         self, batch_id: str, asks_nodes: bool
@@ -81,10 +81,10 @@
         if key not in self.feed.entries:
             return None
         revision = self.feed.revision
-        copy = await self.fetch_copy(batch_id)
+        copy = await self.fetch_snapshot(batch_id)
         if copy is None or copy.revision < revision:
             return None
-        return records.from_copy(copy)
+        return records.from_snapshot(copy)
 
     async def _scan(self, batch_id: str) -> records.Record | None:
         """Reads a batch from the store; None if there is none."""
--- a/src/kingcupscale/batches/maintenance.py
+++ b/src/kingcupscale/batches/maintenance.py
@@ -62,7 +62,7 @@
             if record.is_current or not record.is_open():
                 continue
             try:
-                await self.batch_cache.source.refresh(record)
+                await self.batch_cache.fetcher.refresh(record)
             except errors.ServiceError as e:
                 caches.log_unloaded(record.batch.id, e)
                 return
--- a/src/kingcupscale/batches/record.py
+++ b/src/kingcupscale/batches/record.py
@@ -53,7 +53,7 @@
 
 
 @attrs.frozen
-class RecordCopy:
+class RecordSnapshot:
     """All that a node knows of a batch, for another node.
 
     Attributes:
@@ -161,9 +161,9 @@
             page.append(result)
         return page
 
-    def copy(self, revision: int) -> RecordCopy:
+    def snapshot(self, revision: int) -> RecordSnapshot:
         """Returns it for another node."""
-        return RecordCopy(
+        return RecordSnapshot(
             revision,
             self.submitted_ms,
             self.batch,
@@ -181,7 +181,7 @@
     return attrs.evolve(whole, items=items)
 
 
-def from_copy(copy: RecordCopy) -> Record:
+def from_snapshot(copy: RecordSnapshot) -> Record:
     """Returns a batch as another node knows it."""
     record = Record(copy.batch, copy.submitted_ms)
     record.take_chunk(0, copy.results)
--- a/src/kingcupscale/batches/retention.py
+++ b/src/kingcupscale/batches/retention.py
@@ -25,7 +25,7 @@
         self, batch_cache: caches.BatchCache, clock: clocks.Clock
     ) -> None:
         self.batch_cache = batch_cache
-        self.source = batch_cache.source
+        self.fetcher = batch_cache.fetcher
         self.store = batch_cache.store
         self.clock = clock
 
@@ -77,7 +77,7 @@
 
     async def _forget(self, batch_id: str) -> None:
         prefix = f"{records.RESULTS_PREFIX}{batch_id}/"
-        keys = [entry.key for entry in await self.source.entries(prefix)]
+        keys = [entry.key for entry in await self.fetcher.entries(prefix)]
         heads = self.batch_cache.feed.under(records.key_of(batch_id, ""))
         # The specification goes last, so that a half-removed batch is found
         # again by the next round.
--- a/src/kingcupscale/fleet/peers.py
+++ b/src/kingcupscale/fleet/peers.py
@@ -140,7 +140,7 @@
 
     async def copy_of(
         self, batch_id: str, nodes: list[str]
-    ) -> records.RecordCopy | None:
+    ) -> records.RecordSnapshot | None:
         """Returns a batch as the first of some nodes that has it knows it."""
         addresses = self.addresses()
         for name in nodes:
--- a/src/kingcupscale/peering/relay.py
+++ b/src/kingcupscale/peering/relay.py
@@ -111,7 +111,7 @@
 
     async def copy(
         self, address: str, batch_id: str
-    ) -> records.RecordCopy | None:
+    ) -> records.RecordSnapshot | None:
         """Returns a batch as another node knows it; None if it does not.
 
         Raises:
@@ -169,7 +169,7 @@
 
     async def copy(
         self, address: str, batch_id: str
-    ) -> records.RecordCopy | None:
+    ) -> records.RecordSnapshot | None:
         """Returns a batch as another node knows it; None if it does not."""
         try:
             body = await calls.post(
@@ -183,7 +183,7 @@
             if e.status == STATUS_UNKNOWN:
                 return None
             raise
-        return calls.decode_answer(body, records.RecordCopy)
+        return calls.decode_answer(body, records.RecordSnapshot)
 
     async def probe(self, address: str) -> None:
         """Asks a node whether it lives."""
@@ -261,7 +261,7 @@
         return message.Response(
             200,
             {"content-type": "application/json"},
-            calls.encode(record.copy(self.feed.revision)),
+            calls.encode(record.snapshot(self.feed.revision)),
         )
 
     async def _wait_for_news(
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -291,7 +291,7 @@
             position, self.batch_cache.interest, any_node=self.feed.is_lost
         )
 
-    async def _fetch_copy(self, batch_id: str) -> records.RecordCopy | None:
+    async def _fetch_copy(self, batch_id: str) -> records.RecordSnapshot | None:
         """Returns a batch from a node that is likely to know it."""
         nodes = self.peers.leaders()
         model = self.batch_cache.model_of(batch_id)
--- a/tests/batches/test_cache.py
+++ b/tests/batches/test_cache.py
@@ -78,27 +78,27 @@
     async def test_copy_older_than_the_mirror_is_not_taken(self):
         async with fleets.opened_pair() as pair:
             record = pair.leader.batch_cache.records["b"]
-            old = record.copy(pair.follower.feed.revision)
+            old = record.snapshot(pair.follower.feed.revision)
             await pair.list_one()
             await trio.sleep(1)
 
             async def fetch_old(batch_id):
                 return old
 
-            pair.follower.batch_cache.source.fetch_copy = fetch_old
+            pair.follower.batch_cache.fetcher.fetch_snapshot = fetch_old
             self.assertEqual(await pair.read(), 1)
 
     @virtual.on_virtual_time
     async def test_result_that_comes_during_a_load_is_shown(self):
         async with fleets.opened_pair() as pair:
-            copy = pair.leader.batch_cache.records["b"].copy(10**6)
+            copy = pair.leader.batch_cache.records["b"].snapshot(10**6)
 
             async def fetch_slowly(batch_id):
                 await pair.list_one()
                 await trio.sleep(1)
                 return copy
 
-            pair.follower.batch_cache.source.fetch_copy = fetch_slowly
+            pair.follower.batch_cache.fetcher.fetch_snapshot = fetch_slowly
             self.assertEqual(await pair.read(), 1)
 
     @virtual.on_virtual_time
@@ -136,7 +136,7 @@
         async with fleets.opened_pair() as pair:
             pair.follower.is_leader = True
             await trio.sleep(1)
-            copy = pair.leader.batch_cache.records["b"].copy(
+            copy = pair.leader.batch_cache.records["b"].snapshot(
                 pair.store.revision
             )
 
@@ -145,7 +145,7 @@
                 await trio.sleep(2)
                 return copy
 
-            pair.follower.batch_cache.source.fetch_copy = fetch_slowly
+            pair.follower.batch_cache.fetcher.fetch_snapshot = fetch_slowly
             self.assertEqual(await pair.read(), 1)
 
     @virtual.on_virtual_time
@@ -222,12 +222,12 @@
     @virtual.on_virtual_time
     async def test_batch_whose_end_is_known_is_not_opened_by_an_old_copy(self):
         async with fleets.opened_pair() as pair:
-            open_copy = pair.leader.batch_cache.records["b"].copy(10**6)
+            open_copy = pair.leader.batch_cache.records["b"].snapshot(10**6)
 
             async def fetch_old(batch_id):
                 return open_copy
 
-            pair.follower.batch_cache.source.fetch_copy = fetch_old
+            pair.follower.batch_cache.fetcher.fetch_snapshot = fetch_old
             await pair.leader.batch_cache.end(
                 pair.leader.batch_cache.records["b"], 5.0
             )
