--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -146,7 +146,7 @@
     Break(
         "an ended batch stays ended",
         "batches/cache.py",
-        "            record.note_ended()\n        self.records[batch_id]",
+        "            record.mark_ended()\n        self.records[batch_id]",
         "            pass\n        self.records[batch_id]",
         CACHE,
     ),
--- a/src/kingcupscale/batches/cache.py
+++ b/src/kingcupscale/batches/cache.py
@@ -152,7 +152,7 @@
 
     def has_end(self, batch_id: str) -> bool:
         """Tells whether the store is known to hold a batch's end."""
-        key = records.key_of(batch_id, records.END)
+        key = records.batch_key(batch_id, records.END)
         return key in self.feed.entries
 
     def _take_head(self, entry: stores.Entry) -> None:
@@ -169,7 +169,7 @@
         elif kind == records.SPECIFICATION:
             self._take_specification(batch_id, number, entry)
         elif kind == records.END and batch_id in self.records:
-            self.records[batch_id].note_ended()
+            self.records[batch_id].mark_ended()
             self.on_change()
 
     def _note_forgotten(self, batch_id: str) -> None:
@@ -178,7 +178,7 @@
         self.unexamined.discard(batch_id)
         record = self.records.pop(batch_id, None)
         if record is not None:
-            record.is_forgotten = True
+            record.is_removed = True
 
     def _take_specification(
         self, batch_id: str, number: str, entry: stores.Entry
@@ -206,7 +206,7 @@
         batch_id = record.batch.id
         if self.has_end(batch_id):
             # The end may have been heard of before what the batch came from.
-            record.note_ended()
+            record.mark_ended()
         self.records[batch_id] = record
         self.on_change()
 
@@ -228,12 +228,12 @@
         record = self.records.get(batch_id)
         if record is None:
             return
-        entries.read(entry, lambda v: record.take_value(int(number), v))
+        entries.read(entry, lambda v: record.add_encoded_chunk(int(number), v))
 
     def _note_reloaded(self) -> None:
         """Has all batches looked at again: results may have been missed."""
         for record in self.records.values():
-            record.note_missed()
+            record.mark_incomplete()
         self.reloads += 1
 
     async def accept(self, new: batch.Batch, patience_s: float) -> bool:
@@ -327,7 +327,7 @@
             self._take_again(entry)
         held = record or self.records.get(batch_id)
         if held is not None and self.reloads != loading.reloads:
-            held.note_missed()
+            held.mark_incomplete()
 
     def _keep(self, record: records.Record, is_read: bool) -> None:
         batch_id, model = record.batch.id, record.batch.model
@@ -399,14 +399,14 @@
         await transactions.commit_with_retries(
             self.store, self.clock, transaction, patience_s, record.batch.id
         )
-        record.note_ended()
+        record.mark_ended()
         self.feed.hurry()
 
     def _parts_of(self, record: records.Record) -> int:
         """Returns over how many values a batch is spread; 0 if unknown."""
         if self.feed.is_loading:
             return 0
-        prefix = records.key_of(record.batch.id, records.SPECIFICATION)
+        prefix = records.batch_key(record.batch.id, records.SPECIFICATION)
         return len(self.feed.under(prefix + "/"))
 
     async def append(
--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -241,7 +241,7 @@
         for batch_id, progress in self.progress.items():
             held = self.batch_cache.records.get(batch_id)
             if held is None and self.batch_cache.has_end(batch_id):
-                progress.record.note_ended()
+                progress.record.mark_ended()
             if held is None or held is progress.record:
                 continue
             progress.record = held
--- a/src/kingcupscale/batches/fetching.py
+++ b/src/kingcupscale/batches/fetching.py
@@ -63,7 +63,7 @@
         except stores.StoreError as e:
             reason = e.reason
         if asks_nodes and await self._is_refreshed_by_followed_node():
-            key = records.key_of(batch_id, records.SPECIFICATION, "0")
+            key = records.batch_key(batch_id, records.SPECIFICATION, "0")
             if key not in self.feed.entries:
                 return None
             copy = await self._fetch_current_copy(batch_id)
@@ -77,7 +77,7 @@
 
     async def _fetch_current_copy(self, batch_id: str) -> records.Record | None:
         """Returns another node's state, if it is as new as the mirror."""
-        key = records.key_of(batch_id, records.SPECIFICATION, "0")
+        key = records.batch_key(batch_id, records.SPECIFICATION, "0")
         if key not in self.feed.entries:
             return None
         revision = self.feed.revision
@@ -101,12 +101,12 @@
             return None
         await self._read_results(record)
         if is_ended:
-            record.note_ended()
+            record.mark_ended()
         return record
 
     async def _head_entries(self, batch_id: str) -> list[stores.Entry]:
         """Returns a batch's end and specification, both of one state."""
-        prefix = records.key_of(batch_id, "")
+        prefix = records.batch_key(batch_id, "")
         found = await self.entries(prefix)
         has_end = any(e.key == prefix + records.END for e in found)
         if has_end or all(e.created == e.revision for e in found):
@@ -137,10 +137,10 @@
             ServiceError: ``STORE_UNAVAILABLE``.
         """
         # What changes from here on is heard of, unless a miss is noted.
-        misses = record.misses
+        missed_updates = record.missed_updates
         try:
             await self._read_results(record)
-            if record.misses == misses:
+            if record.missed_updates == missed_updates:
                 record.is_current = True
             return
         except stores.StoreError as e:
@@ -163,7 +163,7 @@
             after = records.result_key(record.batch.id, last)
         for entry in await self.entries(prefix, after):
             first = int(entry.key.removeprefix(prefix))
-            record.take_value(first, entry.value or b"")
+            record.add_encoded_chunk(first, entry.value or b"")
 
     async def _take_copy(self, record: records.Record) -> None:
         """Adds what another node has listed.
@@ -171,15 +171,15 @@
         Raises:
             ServiceError: ``STORE_UNAVAILABLE`` if none can tell.
         """
-        misses = record.misses
+        missed_updates = record.missed_updates
         copy = await self._fetch_current_copy(record.batch.id)
         if copy is None:
             raise errors.ServiceError(
                 errors.ResultCode.STORE_UNAVAILABLE, retry_after_s=RETRY_AFTER_S
             )
         known = len(record.results)
-        record.take_chunk(known, copy.results[known:])
-        if record.misses == misses:
+        record.add_chunk(known, copy.results[known:])
+        if record.missed_updates == missed_updates:
             record.is_current = True
 
     async def _is_refreshed_by_followed_node(self) -> bool:
--- a/src/kingcupscale/batches/record.py
+++ b/src/kingcupscale/batches/record.py
@@ -94,15 +94,15 @@
     chunks: dict[int, list[batch.Result]] = attrs.field(factory=dict)
     listed: set[str] = attrs.field(factory=set)
     is_ended: bool = False
-    is_forgotten: bool = False
+    is_removed: bool = False
     is_current: bool = True
-    misses: int = 0
+    missed_updates: int = 0
 
     def has_result(self, item: str) -> bool:
         """Tells whether an item has its result."""
         return item in self.listed
 
-    def take_chunk(self, first: int, results: list[batch.Result]) -> None:
+    def add_chunk(self, first: int, results: list[batch.Result]) -> None:
         """Takes over listed results, and those that follow them."""
         if first < len(self.results):
             return
@@ -112,7 +112,7 @@
             self.results += following
             self.listed.update(result.item for result in following)
 
-    def take_value(self, first: int, value: bytes) -> None:
+    def add_encoded_chunk(self, first: int, value: bytes) -> None:
         """Takes over a chunk as the store holds it.
 
         Raises:
@@ -120,18 +120,18 @@
                 ``cattrs.BaseValidationError``.
         """
         if value:
-            self.take_chunk(first, decode(Chunk, value).results)
+            self.add_chunk(first, decode(Chunk, value).results)
         is_left_out = not value and first >= len(self.results)
         if is_left_out or self.chunks:
             # What is missing may have been told before it was wanted.
-            self.note_missed()
+            self.mark_incomplete()
 
-    def note_missed(self) -> None:
+    def mark_incomplete(self) -> None:
         """Notes that results may be missing until they are read."""
         self.is_current = False
-        self.misses += 1
+        self.missed_updates += 1
 
-    def note_ended(self) -> None:
+    def mark_ended(self) -> None:
         """Notes the end; bodies need not be shown any more after it."""
         if self.is_ended:
             return
@@ -142,7 +142,7 @@
         """Tells whether items are still to be run."""
         return not (
             self.is_ended
-            or self.is_forgotten
+            or self.is_removed
             or len(self.results) >= len(self.batch.items)
         )
 
@@ -184,7 +184,7 @@
 def from_snapshot(copy: RecordSnapshot) -> Record:
     """Returns a batch as another node knows it."""
     record = Record(copy.batch, copy.submitted_ms)
-    record.take_chunk(0, copy.results)
+    record.add_chunk(0, copy.results)
     record.is_ended = copy.is_ended
     return record
 
@@ -208,7 +208,7 @@
     return Record(whole, head.submitted_ms)
 
 
-def key_of(batch_id: str, *parts: str) -> str:
+def batch_key(batch_id: str, *parts: str) -> str:
     """Returns a key of a batch."""
     return "/".join([PREFIX + batch_id, *parts])
 
@@ -218,7 +218,7 @@
     return f"{RESULTS_PREFIX}{batch_id}/{position:06d}"
 
 
-def batch_of(key: str) -> str | None:
+def batch_id_of(key: str) -> str | None:
     """Returns the batch that a key belongs to, if it belongs to one."""
     for prefix in (PREFIX, RESULTS_PREFIX):
         if key.startswith(prefix):
--- a/src/kingcupscale/batches/retention.py
+++ b/src/kingcupscale/batches/retention.py
@@ -63,7 +63,7 @@
 
     async def _learn(self, batch_id: str) -> None:
         """Reads when a batch came, of one that was seen by its name only."""
-        key = records.key_of(batch_id, records.SPECIFICATION, "0")
+        key = records.batch_key(batch_id, records.SPECIFICATION, "0")
         entry = await self.store.store.get(key)
         if entry is None or entry.value is None:
             return
@@ -78,7 +78,7 @@
     async def _forget(self, batch_id: str) -> None:
         prefix = f"{records.RESULTS_PREFIX}{batch_id}/"
         keys = [entry.key for entry in await self.fetcher.entries(prefix)]
-        heads = self.batch_cache.feed.under(records.key_of(batch_id, ""))
+        heads = self.batch_cache.feed.under(records.batch_key(batch_id, ""))
         # The specification goes last, so that a half-removed batch is found
         # again by the next round.
         keys += sorted(
--- a/src/kingcupscale/batches/transactions.py
+++ b/src/kingcupscale/batches/transactions.py
@@ -32,7 +32,7 @@
     values = [records.encode(head)]
     values += [records.encode(records.Items(items)) for items in groups[1:]]
     keys = [
-        records.key_of(new.id, records.SPECIFICATION, str(number))
+        records.batch_key(new.id, records.SPECIFICATION, str(number))
         for number in range(len(values))
     ]
     return stores.Transaction(
@@ -51,14 +51,14 @@
         record: The batch.
         parts: Values that its items are spread over; 0 to leave them.
     """
-    key = records.key_of(record.batch.id, records.END)
+    key = records.batch_key(record.batch.id, records.END)
     puts = [stores.Put(key, b"1")]
     slim = records.without_bodies(record.batch)
     for number in range(parts):
         value: object = records.Items([])
         if number == 0:
             value = records.Specification(record.submitted_ms, parts, slim)
-        name = records.key_of(
+        name = records.batch_key(
             record.batch.id, records.SPECIFICATION, str(number)
         )
         puts.append(stores.Put(name, records.encode(value)))
--- a/src/kingcupscale/peering/relay.py
+++ b/src/kingcupscale/peering/relay.py
@@ -283,7 +283,7 @@
         self, entry: stores.Entry, interest: interests.Interest
     ) -> bool:
         """Tells whether a follower wants to know a change in full."""
-        batch_id = records.batch_of(entry.key)
+        batch_id = records.batch_id_of(entry.key)
         if batch_id is None:
             return True
         model = self.batch_cache.model_of(batch_id)
@@ -293,7 +293,7 @@
         """Tells whether a value is wanted that this node was not told."""
         return (
             entry.value == LEFT_OUT
-            and records.batch_of(entry.key) is not None
+            and records.batch_id_of(entry.key) is not None
             and self._is_wanted(entry, interest)
         )
 
--- a/tests/batches/fleets.py
+++ b/tests/batches/fleets.py
@@ -241,7 +241,9 @@
         while True:
             await trio.sleep(self.rng.uniform(0.0, 0.3))
             node = self.rng.choice(self.nodes)
-            key = records.key_of(self.rng.choice(batch_ids), "specification/0")
+            key = records.batch_key(
+                self.rng.choice(batch_ids), "specification/0"
+            )
             if key in self.store.entries:
                 batch_id = key.split("/")[-3]
                 record = await node.batch_cache.find(batch_id, "o")
--- a/tests/batches/test_cache.py
+++ b/tests/batches/test_cache.py
@@ -326,6 +326,6 @@
         for position in positions:
             result = batch.Result(f"i{position}", batch.ResultState.DONE)
             value = records.encode(records.Chunk([result]))
-            record.take_value(position, value)
+            record.add_encoded_chunk(position, value)
         self.assertEqual(record.is_current, is_current)
         self.assertEqual(len(record.results), count)
--- a/tests/platform/test_ended.py
+++ b/tests/platform/test_ended.py
@@ -122,7 +122,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(generator.run, sample, server)
                 await trio.sleep(0)
-                sample.record.note_ended()
+                sample.record.mark_ended()
             self.assertEqual(len(site.runs), began)
             self.assertEqual(server.failures, 0)
 
--- a/tests/platform/test_herd.py
+++ b/tests/platform/test_herd.py
@@ -103,7 +103,7 @@
             batch_cache.part_bytes = value_bytes
             await _submit(site, "b1")
             before = await site.read_all(site.nodes[0], "b1")
-            prefix = records.key_of("b1", records.SPECIFICATION)
+            prefix = records.batch_key("b1", records.SPECIFICATION)
             values = [k for k in site.store.items if k.startswith(prefix)]
             response = await _end(site, "b1")
             self.assertEqual(response.status, 200)
