--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -50,7 +50,7 @@
     Break(
         "no result is missed while a batch is loaded",
         "batches/cache.py",
-        "for entry in loading.entries:",
+        "for entry in pending.entries:",
         "for entry in ():",
         CACHE,
     ),
--- a/src/kingcupscale/batches/cache.py
+++ b/src/kingcupscale/batches/cache.py
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen
-class Known:
+class BatchSummary:
     """What a node remembers of each batch whose specification it has seen."""
 
     submitted_ms: int
@@ -37,7 +37,7 @@
 
 
 @attrs.define(eq=False)
-class Loading:
+class PendingLoad:
     """A batch that is being loaded, and the changes of it meanwhile.
 
     Attributes:
@@ -46,7 +46,7 @@
         entries: The changes.
     """
 
-    reloads: int
+    reload_count: int
     done: trio.Event = attrs.field(factory=trio.Event)
     entries: list[stores.Entry] = attrs.field(factory=list)
 
@@ -91,12 +91,12 @@
         self.fetcher = fetching.BatchFetcher(feed, store, clock, fetch_snapshot)
         self.records: dict[str, records.Record] = {}
         self.interest = interests.Interest()
-        self.known: dict[str, Known] = {}
-        self.unexamined: set[str] = set()
-        self.reads: dict[str, float] = {}
-        self.loading: dict[str, Loading] = {}
-        self.reloads = 0
-        self.readers = 0
+        self.summaries: dict[str, BatchSummary] = {}
+        self.load_candidates: set[str] = set()
+        self.last_read_at: dict[str, float] = {}
+        self.pending_loads: dict[str, PendingLoad] = {}
+        self.reload_count = 0
+        self.waiting_readers = 0
         self.waiting_parts: dict[str, dict[str, bytes]] = {}
         self.asked_anew_at = -ASK_ANEW_S
         self.on_change: Callable[[], None] = _ignore
@@ -106,12 +106,12 @@
         feed.subscribe(records.RESULTS_PREFIX, self._take_results)
         feed.on_reloaded = self._note_reloaded
 
-    def want(self, everything: bool, models: frozenset[str]) -> None:
+    def set_interest(self, everything: bool, models: frozenset[str]) -> None:
         """Sets what has to be known here beside the batches that are read."""
         before = self.interest
-        self._set_interest(everything, models)
+        self._apply_interest(everything, models)
         if (everything and not before.everything) or models - before.models:
-            self.unexamined |= {
+            self.load_candidates |= {
                 batch_id
                 for batch_id in self.batch_ids()
                 if batch_id not in self.records and not self.has_end(batch_id)
@@ -119,13 +119,15 @@
 
     def model_of(self, batch_id: str) -> str | None:
         """Returns the model that a batch trains, if that is known."""
-        known = self.known.get(batch_id)
+        known = self.summaries.get(batch_id)
         return known.model if known else None
 
-    def _set_interest(self, everything: bool, models: frozenset[str]) -> None:
+    def _apply_interest(self, everything: bool, models: frozenset[str]) -> None:
         single = frozenset()
         if not everything:
-            single = frozenset(self.reads) | frozenset(self.loading)
+            single = frozenset(self.last_read_at) | frozenset(
+                self.pending_loads
+            )
         new = interests.Interest(everything, models, single)
         is_wider = new.is_wider_than(self.interest)
         self.interest = new
@@ -139,7 +141,7 @@
 
     def update_interest(self) -> None:
         """Has other nodes asked for what is read or loaded here by now."""
-        self._set_interest(self.interest.everything, self.interest.models)
+        self._apply_interest(self.interest.everything, self.interest.models)
 
     def batch_ids(self) -> list[str]:
         """Returns all batches that the store is known to hold."""
@@ -160,8 +162,8 @@
         rest = entry.key.removeprefix(records.PREFIX)
         batch_id, _, rest = rest.partition("/")
         kind, _, number = rest.partition("/")
-        if batch_id in self.loading:
-            self.loading[batch_id].entries.append(entry)
+        if batch_id in self.pending_loads:
+            self.pending_loads[batch_id].entries.append(entry)
             if kind == records.SPECIFICATION:
                 self.feed.drop_value(entry.key)
         elif kind == records.SPECIFICATION and entry.value is None:
@@ -173,9 +175,9 @@
             self.on_change()
 
     def _note_forgotten(self, batch_id: str) -> None:
-        self.known.pop(batch_id, None)
-        self.reads.pop(batch_id, None)
-        self.unexamined.discard(batch_id)
+        self.summaries.pop(batch_id, None)
+        self.last_read_at.pop(batch_id, None)
+        self.load_candidates.discard(batch_id)
         record = self.records.pop(batch_id, None)
         if record is not None:
             record.is_removed = True
@@ -193,11 +195,11 @@
             return
         del self.waiting_parts[batch_id]
         model = record.batch.model
-        self.known[batch_id] = Known(record.submitted_ms, model)
+        self.summaries[batch_id] = BatchSummary(record.submitted_ms, model)
         # An end writes the specification anew, long after the results.
         is_new = entry.created == entry.revision
         if not is_new or self._may_have_results(batch_id):
-            self.unexamined.add(batch_id)
+            self.load_candidates.add(batch_id)
         elif self.interest.includes(batch_id, model):
             self._hold(record)
 
@@ -222,8 +224,8 @@
         if entry.value is None:
             return
         self.feed.drop_value(entry.key)
-        if batch_id in self.loading:
-            self.loading[batch_id].entries.append(entry)
+        if batch_id in self.pending_loads:
+            self.pending_loads[batch_id].entries.append(entry)
             return
         record = self.records.get(batch_id)
         if record is None:
@@ -234,7 +236,7 @@
         """Has all batches looked at again: results may have been missed."""
         for record in self.records.values():
             record.mark_incomplete()
-        self.reloads += 1
+        self.reload_count += 1
 
     async def accept(self, new: batch.Batch, patience_s: float) -> bool:
         """Keeps a batch; once it returns, the store has it.
@@ -255,20 +257,20 @@
         self._note_read(new.id)
         now_ms = int(self.clock.now().timestamp() * 1000)
         transaction = transactions.make_acceptance(new, now_ms, self.part_bytes)
-        reloads = self.reloads
+        reload_count = self.reload_count
         is_new = await transactions.commit_with_retries(
             self.store, self.clock, transaction, patience_s, new.id
         )
         if is_new:
             self.feed.hurry()
-        if is_new and self.reloads == reloads:
+        if is_new and self.reload_count == reload_count:
             # After a reload the mirror has told of it, not of first results.
             for put in transaction.puts:
                 self._take_head(stores.Entry(put.key, put.value, 0))
         return is_new
 
     def _note_read(self, batch_id: str) -> None:
-        self.reads[batch_id] = self.clock.monotonic()
+        self.last_read_at[batch_id] = self.clock.monotonic()
         self.update_interest()
 
     async def find(self, batch_id: str, organisation: str) -> records.Record:
@@ -299,16 +301,16 @@
         Raises:
             ServiceError: ``STORE_UNAVAILABLE``.
         """
-        while batch_id in self.loading:
-            await self.loading[batch_id].done.wait()
+        while batch_id in self.pending_loads:
+            await self.pending_loads[batch_id].done.wait()
         if batch_id in self.records:
             return self.records[batch_id]
-        self.loading[batch_id] = Loading(self.reloads)
+        self.pending_loads[batch_id] = PendingLoad(self.reload_count)
         self.update_interest()
         record = None
         try:
             record = await self.fetcher.fetch(batch_id, asks_nodes)
-            self.unexamined.discard(batch_id)
+            self.load_candidates.discard(batch_id)
         finally:
             self._end_load(batch_id, record, is_read)
         self.update_interest()
@@ -318,22 +320,22 @@
         self, batch_id: str, record: records.Record | None, is_read: bool
     ) -> None:
         """Takes over what a load has brought, and the changes meanwhile."""
-        loading = self.loading.pop(batch_id)
-        loading.done.set()
+        pending = self.pending_loads.pop(batch_id)
+        pending.done.set()
         if record is not None:
             self._keep(record, is_read)
         # Without a record, these may be the first that tell of the batch.
-        for entry in loading.entries:
+        for entry in pending.entries:
             self._take_again(entry)
         held = record or self.records.get(batch_id)
-        if held is not None and self.reloads != loading.reloads:
+        if held is not None and self.reload_count != pending.reload_count:
             held.mark_incomplete()
 
     def _keep(self, record: records.Record, is_read: bool) -> None:
         batch_id, model = record.batch.id, record.batch.model
-        self.known[batch_id] = Known(record.submitted_ms, model)
+        self.summaries[batch_id] = BatchSummary(record.submitted_ms, model)
         if is_read:
-            self.reads[batch_id] = self.clock.monotonic()
+            self.last_read_at[batch_id] = self.clock.monotonic()
         if is_read or self.interest.includes(batch_id, model):
             self._hold(record)
 
@@ -360,12 +362,12 @@
         if after > len(record.results) or not record.is_current:
             await self.fetcher.refresh(record)
         if after >= len(record.results) and record.is_open():
-            self.readers += 1
+            self.waiting_readers += 1
             self.feed.hurry()
             try:
                 await self._wait_for_result(record, after, wait_s)
             finally:
-                self.readers -= 1
+                self.waiting_readers -= 1
         if after >= len(record.results) and self._may_lack_results(record):
             await self.fetcher.refresh(record)
         return record.page(after)
@@ -443,6 +445,6 @@
     """Does nothing."""
 
 
-def log_unloaded(batch_id: str, error: errors.ServiceError) -> None:
+def log_load_failure(batch_id: str, error: errors.ServiceError) -> None:
     """Logs a batch that could not be had."""
     events.log(events.Event.BATCH_UNREADABLE, batch=batch_id, reason=str(error))
--- a/src/kingcupscale/batches/maintenance.py
+++ b/src/kingcupscale/batches/maintenance.py
@@ -40,19 +40,19 @@
             await self.clock.rest(PAUSE_S)
 
     async def _load_wanted(self) -> None:
-        for batch_id in sorted(self.batch_cache.unexamined):
-            known = self.batch_cache.known.get(batch_id)
+        for batch_id in sorted(self.batch_cache.load_candidates):
+            known = self.batch_cache.summaries.get(batch_id)
             is_wanted = known is None or self.batch_cache.interest.includes(
                 batch_id, known.model
             )
             if not is_wanted or self.batch_cache.has_end(batch_id):
-                self.batch_cache.unexamined.discard(batch_id)
+                self.batch_cache.load_candidates.discard(batch_id)
                 continue
             try:
                 await self.batch_cache.load(batch_id, is_read=False)
             except errors.ServiceError as e:
-                self.batch_cache.unexamined.add(batch_id)
-                caches.log_unloaded(batch_id, e)
+                self.batch_cache.load_candidates.add(batch_id)
+                caches.log_load_failure(batch_id, e)
                 return
         await self._refresh_open()
 
@@ -64,15 +64,15 @@
             try:
                 await self.batch_cache.fetcher.refresh(record)
             except errors.ServiceError as e:
-                caches.log_unloaded(record.batch.id, e)
+                caches.log_load_failure(record.batch.id, e)
                 return
 
     def _let_go(self) -> None:
         """Lets go of batches that nobody here asks for any more."""
         now = self.clock.monotonic()
-        self.batch_cache.reads = {
+        self.batch_cache.last_read_at = {
             batch_id: at
-            for batch_id, at in self.batch_cache.reads.items()
+            for batch_id, at in self.batch_cache.last_read_at.items()
             if now - at < READ_TTL_S
         }
         self.batch_cache.update_interest()
@@ -94,5 +94,5 @@
                 del self.batch_cache.records[batch_id]
 
     def _last_wanted_at(self, record: records.Record) -> tuple[float, int]:
-        read_at = self.batch_cache.reads.get(record.batch.id, 0.0)
+        read_at = self.batch_cache.last_read_at.get(record.batch.id, 0.0)
         return read_at, record.submitted_ms
--- a/src/kingcupscale/batches/retention.py
+++ b/src/kingcupscale/batches/retention.py
@@ -29,7 +29,7 @@
         self.store = batch_cache.store
         self.clock = clock
 
-    async def forget_older_than(self, seconds: float) -> None:
+    async def remove_older_than(self, seconds: float) -> None:
         """Removes batches that need not be read any more.
 
         Raises:
@@ -38,11 +38,11 @@
         now_ms = self.clock.now().timestamp() * 1000
         for batch_id in self.batch_cache.batch_ids():
             if (
-                batch_id in self.batch_cache.unexamined
-                or batch_id in self.batch_cache.loading
+                batch_id in self.batch_cache.load_candidates
+                or batch_id in self.batch_cache.pending_loads
             ):
                 continue
-            known = self.batch_cache.known.get(batch_id)
+            known = self.batch_cache.summaries.get(batch_id)
             if known is None:
                 await self._learn(batch_id)
                 continue
@@ -57,7 +57,7 @@
         try:
             record = await self.batch_cache.load(batch_id, is_read=True)
         except errors.ServiceError as e:
-            caches.log_unloaded(batch_id, e)
+            caches.log_load_failure(batch_id, e)
             return False
         return record is not None and not record.is_open()
 
@@ -71,7 +71,7 @@
         head = entries.read(entry, decode)
         if head is None:
             return
-        self.batch_cache.known[batch_id] = caches.Known(
+        self.batch_cache.summaries[batch_id] = caches.BatchSummary(
             head.submitted_ms, head.batch.model
         )
 
--- a/src/kingcupscale/leading.py
+++ b/src/kingcupscale/leading.py
@@ -108,7 +108,7 @@
             return
         self.forgot_at = now
         retention_s = self.runtime.settings.bounds.retention_s
-        await self.retention.forget_older_than(retention_s + RETENTION_SLACK_S)
+        await self.retention.remove_older_than(retention_s + RETENTION_SLACK_S)
 
     def _tell(self, state: loads.LoadState) -> None:
         """Takes over a load's state and passes it on to the model's node."""
--- a/src/kingcupscale/operating/exposition.py
+++ b/src/kingcupscale/operating/exposition.py
@@ -51,7 +51,7 @@
             f"servers_known {len(runtime.roster.servers)}",
             f"servers_usable {len(usable)}",
             f"batches_known {len(runtime.batch_cache.records)}",
-            f"readers_waiting {runtime.batch_cache.readers}",
+            f"readers_waiting {runtime.batch_cache.waiting_readers}",
         ]
 
     def _store_calls(self) -> list[str]:
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -310,13 +310,13 @@
                 for duty in self.models.values()
                 if duty.wants_batches()
             }
-            self.batch_cache.want(everything, frozenset(models))
+            self.batch_cache.set_interest(everything, frozenset(models))
             await self.clock.rest(WANT_PAUSE_S)
 
     def _feed_pause_s(self) -> float:
         if self.leads():
             return LEADER_PAUSE_S
-        is_needed = self.batch_cache.readers or any(
+        is_needed = self.batch_cache.waiting_readers or any(
             duty.coordinator.active for duty in self.services.values()
         )
         if self.feed.is_following and is_needed:
--- a/tests/batches/fleets.py
+++ b/tests/batches/fleets.py
@@ -209,7 +209,7 @@
 
     def set_interest(self, node):
         models = frozenset(m for m in MODELS if self.rng.random() < 0.3)
-        node.batch_cache.want(node.is_leader, models)
+        node.batch_cache.set_interest(node.is_leader, models)
 
     async def write(self, batch_id, is_ended=False):
         """Has a batch accepted by one node and its results listed by others."""
@@ -262,8 +262,8 @@
         self.store = fleet.store
         self.store.rng = fleet.rng
         self.leader, self.follower = fleet.nodes
-        self.leader.batch_cache.want(True, frozenset())
-        self.follower.batch_cache.want(False, frozenset())
+        self.leader.batch_cache.set_interest(True, frozenset())
+        self.follower.batch_cache.set_interest(False, frozenset())
         for node in fleet.nodes:
             nursery.start_soon(node.run)
 
--- a/tests/batches/test_cache.py
+++ b/tests/batches/test_cache.py
@@ -200,11 +200,11 @@
                 pair.leader.batch_cache, pair.leader.clock
             )
             await trio.sleep(20)
-            await keeper.forget_older_than(10.0)
+            await keeper.remove_older_than(10.0)
             self.assertTrue(pair.store.entries)
             await pair.list_one()
             await trio.sleep(1)
-            await keeper.forget_older_than(10.0)
+            await keeper.remove_older_than(10.0)
             self.assertEqual(pair.store.entries, {})
 
     @virtual.on_virtual_time
@@ -216,7 +216,7 @@
             keeper = retention.Retention(
                 pair.leader.batch_cache, pair.leader.clock
             )
-            await keeper.forget_older_than(10.0)
+            await keeper.remove_older_than(10.0)
             self.assertEqual(len(pair.store.entries), 1)
 
     @virtual.on_virtual_time
@@ -246,7 +246,7 @@
             await pair.list_one()
             await trio.sleep(1)
             late = await pair.add(is_leader)
-            late.batch_cache.want(True, frozenset())
+            late.batch_cache.set_interest(True, frozenset())
             await pair.leader.batch_cache.end(
                 pair.leader.batch_cache.records["b"], 5.0
             )
--- a/tests/platform/test_ended.py
+++ b/tests/platform/test_ended.py
@@ -179,7 +179,7 @@
         )
         await site.submit(node)
         batch_cache = node.runtime.batch_cache
-        batch_cache.reads["b1"] -= maintenance.READ_TTL_S
+        batch_cache.last_read_at["b1"] -= maintenance.READ_TTL_S
         # Until its interest is set, nothing but the read keeps the batch.
         node.runtime.models[DUTY].take_over(holder.name)
         before = batch_cache.records["b1"]
