--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -78,7 +78,7 @@
     ),
     Break(
         "a configuration never goes back",
-        "directives.py",
+        "clusterstate.py",
         "not catalogue.is_newer(found, self.catalogue)",
         "False",
         SITE + "test_configurations.ConfigurationTest"
@@ -117,13 +117,13 @@
     Break(
         "texts go on after a takeover",
         "batches/coordinator.py",
-        "sample.events = self.texts.pop(item.id, [])",
+        "sample.events = self.partial_texts.pop(item.id, [])",
         "sample.events = []",
         SITE + "test_batches.BatchTest.test_texts_go_on_after_a_takeover",
     ),
     Break(
         "a draining server gets nothing new",
-        "fleet/roster.py",
+        "fleet/registry.py",
         "            and self.entry.state is ServerState.READY\n",
         "",
         SITE + "test_calls.CallTest.test_draining_server_gets_nothing_new",
@@ -153,8 +153,9 @@
     Break(
         "a result is listed in its own batch only",
         "batches/coordinator.py",
-        "place = (sample.record.batch.id, sample.id)",
-        "place = next((p for p in self.results if p[1] == sample.id), None)",
+        "key = (sample.record.batch.id, sample.id)",
+        "key = next((k for k in self.copied_results if k[1] == sample.id), "
+        "None)",
         SITE + "test_versions.VersionTest"
         ".test_result_of_an_ended_batch_is_not_listed_in_another",
     ),
@@ -219,7 +220,7 @@
     ),
     Break(
         "what is given up is not sent later",
-        "web/exchange.py",
+        "web/httpclient.py",
         "    (socket.SOL_SOCKET, socket.SO_LINGER, _RESET),\n",
         "",
         "tests.test_web_server.ExchangeTest",
@@ -355,7 +356,7 @@
     ),
     Break(
         "a planned stop hands over the last of all texts",
-        "leading.py",
+        "leadership.py",
         "            await self.replicator.hand_over()\n"
         "        self.coordinator.set_active(self.model, False)\n",
         "            self.coordinator.set_active(self.model, False)\n"
@@ -364,22 +365,22 @@
     ),
     Break(
         "samples go on at once when their node is stopped",
-        "leading.py",
+        "leadership.py",
         "if holder == self.taken_from and now < self.taken_until:",
         "if False:",
         SITE + "test_lifecycle.RollingStopTest",
     ),
     Break(
         "a server that says that it leaves gets nothing new",
-        "fleet/roster.py",
+        "fleet/registry.py",
         "            and not self.is_leaving\n",
         "",
         SITE + "test_leaving",
     ),
     Break(
         "a leaving server's entry that comes again changes nothing",
-        "fleet/roster.py",
-        "self.leaving.get(entry.id) == entry.born",
+        "fleet/registry.py",
+        "self.leaving_starts.get(entry.id) == entry.start_ms",
         "False",
         SITE + "test_leaving",
     ),
@@ -392,7 +393,7 @@
     ),
     Break(
         "heads without end have an end",
-        "web/exchange.py",
+        "web/httpclient.py",
         "with trio.move_on_after(connect_s + timeout_s) as scope:",
         "with trio.CancelScope() as scope:",
         SITE + "test_endless.EndlessTest.test_report_and_order_end_in_time",
@@ -407,7 +408,7 @@
     Break(
         "an event without end takes little memory",
         "platform/servers.py",
-        "if len(pending) > EVENT_BYTES_MOST:",
+        "if len(pending) > MAX_EVENT_BYTES:",
         "if False:",
         SITE + "test_endless",
     ),
@@ -444,18 +445,18 @@
         "batches/cache.py",
         "        feed.defer(records.PREFIX)\n",
         "",
-        SITE + "test_herd",
+        SITE + "test_thundering_herd",
     ),
     Break(
         "an ended batch takes little",
         "batches/transactions.py",
         "for number in range(parts):",
         "for number in range(0):",
-        SITE + "test_herd",
+        SITE + "test_thundering_herd",
     ),
     Break(
         "a lost node's samples go on soon",
-        "leading.py",
+        "leadership.py",
         "if self._is_overdue(holder):",
         "if False:",
         SITE + "test_lifecycle.LostHolderTest",
@@ -472,14 +473,14 @@
         "platform/cloud.py",
         "        request.before_send = holder.check\n",
         "",
-        SITE + "test_permission",
+        SITE + "test_lease_expiry",
     ),
     Break(
         "no order to an engine leaves after its lease",
         "platform/servers.py",
         "        request.before_send = order.holder.check\n",
         "",
-        SITE + "test_permission",
+        SITE + "test_lease_expiry",
     ),
     Break(
         "a request that was read at a stop is answered",
@@ -519,14 +520,14 @@
     ),
     Break(
         "nothing of an ended batch is sent by an old view",
-        "batches/permission.py",
+        "batches/sendguard.py",
         "if not self.view.is_current():",
         "if False:",
         SITE + "test_ended",
     ),
     Break(
         "an item whose batch ends while it connects is kept back",
-        "batches/permission.py",
+        "batches/sendguard.py",
         "if not sample.record.is_open():",
         "if False:",
         SITE + "test_ended",
@@ -540,10 +541,10 @@
     ),
     Break(
         "failures side by side are not a row",
-        "fleet/roster.py",
+        "fleet/registry.py",
         "if now < self.ejected_until:",
         "if False:",
-        "tests.test_roster",
+        "tests.test_server_registry",
     ),
     Break(
         "calls that are given up teach how long answers take",
--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -12,15 +12,15 @@
 from kingcupscale.batches import batch as batches
 from kingcupscale.batches import cache as caches
 from kingcupscale.batches import generation
-from kingcupscale.batches import moving
-from kingcupscale.batches import permission as permissions
+from kingcupscale.batches import migration
 from kingcupscale.batches import placement
 from kingcupscale.batches import record as records
 from kingcupscale.batches import resultwriter
 from kingcupscale.batches import sample as samples
 from kingcupscale.batches import scoring
+from kingcupscale.batches import sendguard
 from kingcupscale.fleet import catalogue
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
 from kingcupscale.gateway import forwarder
 from kingcupscale.peering import handover
@@ -60,16 +60,20 @@
         view: Tells whether batches' ends are known here.
 
     Attributes:
-        active: Models whose batches this node runs.
-        leftovers: Finished samples of batches that another node runs by now;
-            whichever node lists a result first, it stands.
+        active_models: Models whose batches this node runs.
+        partial_texts: Texts, by item, to continue when this node runs the
+            item: from other nodes' copies, and of batches it has released.
+        copied_results: Results from other nodes' copies, by batch and item.
+        released_samples: Finished samples of open batches that another node
+            runs by now. They are still listed here; the result that is
+            listed first stands.
     """
 
     def __init__(
         self,
         service: str,
         batch_cache: caches.BatchCache,
-        servers: roster.Roster,
+        servers: registry.ServerRegistry,
         client: serverclient.ServerClient,
         forward: forwarder.Forwarder,
         measures: metrics.Metrics,
@@ -77,19 +81,17 @@
         catalogue_now: Callable[[], catalogue.Catalogue | None],
         view: views.View,
     ) -> None:
-        permission = permissions.Permission(view)
+        guard = sendguard.SendGuard(view)
         self.view = view
         self.service = service
         self.batch_cache = batch_cache
         self.servers = servers
-        self.generator = generation.Generator(
-            client, clock, permission, self._fail
-        )
+        self.generator = generation.Generator(client, clock, guard, self._fail)
         self.scorer = scoring.Scorer(
             forward,
             clock,
             catalogue_now,
-            permission,
+            guard,
             self._finish,
             self._fail,
         )
@@ -99,12 +101,12 @@
         self.measures = measures
         self.clock = clock
         self.catalogue_now = catalogue_now
-        self.active: set[str] = set()
+        self.active_models: set[str] = set()
         self.progress: dict[str, Progress] = {}
         self.prompts: dict[str, set[str]] = {}
-        self.texts: dict[str, list[serverclient.StreamEvent]] = {}
-        self.results: dict[tuple[str, str], batches.Result] = {}
-        self.leftovers: list[samples.Sample] = []
+        self.partial_texts: dict[str, list[serverclient.StreamEvent]] = {}
+        self.copied_results: dict[tuple[str, str], batches.Result] = {}
+        self.released_samples: list[samples.Sample] = []
         self.woken = trio.Event()
 
     def open_samples(self) -> list[samples.Sample]:
@@ -126,22 +128,22 @@
         """Returns a model's samples that would be lost with this node."""
         return [
             sample
-            for sample in [*self.open_samples(), *self.leftovers]
+            for sample in [*self.open_samples(), *self.released_samples]
             if sample.record.batch.model == model
             and (sample.events or sample.result)
             and not sample.record.has_result(sample.id)
         ]
 
     def _samples_to_list(self) -> list[samples.Sample]:
-        self.leftovers = [
+        self.released_samples = [
             sample
-            for sample in self.leftovers
+            for sample in self.released_samples
             if sample.record.is_open()
             and not sample.record.has_result(sample.id)
         ]
-        return [*self.open_samples(), *self.leftovers]
+        return [*self.open_samples(), *self.released_samples]
 
-    def take_copy(self, copy: handover.Copy) -> bool:
+    def apply_copy(self, copy: handover.Copy) -> bool:
         """Takes over texts that another node has made.
 
         Returns:
@@ -150,15 +152,15 @@
         fits = True
         present = {sample.id: sample for sample in self.open_samples()}
         for text in copy.texts:
-            known = self.texts.get(text.item, [])
+            known = self.partial_texts.get(text.item, [])
             if not text.follows(known):
                 fits = False
                 continue
             if text.events and text.events[0].number == 1:
                 known = []
-            self.texts[text.item] = known + list(text.events)
+            self.partial_texts[text.item] = known + list(text.events)
             if text.result is not None:
-                self.results[text.batch_id, text.item] = text.result
+                self.copied_results[text.batch_id, text.item] = text.result
             sample = present.get(text.item)
             if sample is not None:
                 self._adopt(sample)
@@ -169,10 +171,10 @@
         """Goes on with a copied text or result, if it is ahead."""
         if sample.result is not None:
             return
-        text = self.texts.get(sample.id, [])
-        place = (sample.record.batch.id, sample.id)
-        if place in self.results:
-            sample.result = self.results.pop(place)
+        text = self.partial_texts.get(sample.id, [])
+        key = (sample.record.batch.id, sample.id)
+        if key in self.copied_results:
+            sample.result = self.copied_results.pop(key)
             sample.stage = samples.Stage.FINISHED
             sample.scope.cancel()
             self.result_writer.has_results.set()
@@ -184,18 +186,18 @@
             sample.events = list(text)
 
     def _bound_copies(self) -> None:
-        for kept in (self.texts, self.results):
+        for kept in (self.partial_texts, self.copied_results):
             while len(kept) > TEXTS_KEPT:
                 del kept[next(iter(kept))]
 
     def is_active(self, model: str) -> bool:
         """Tells whether this node runs a model's batches."""
-        return model in self.active
+        return model in self.active_models
 
     def set_active(self, model: str, is_active: bool) -> None:
         """Takes up a model's batches, or lets them go."""
         if is_active != self.is_active(model):
-            self.active ^= {model}
+            self.active_models ^= {model}
             self._follow_batches()
             self.wake()
 
@@ -247,7 +249,7 @@
             progress.record = held
             for sample in progress.samples.values():
                 sample.record = held
-        for sample in self.leftovers:
+        for sample in self.released_samples:
             held = self.batch_cache.records.get(sample.record.batch.id)
             sample.record = held or sample.record
 
@@ -256,9 +258,9 @@
         for sample in progress.samples.values():
             sample.scope.cancel()
             if sample.events and sample.result is None:
-                self.texts[sample.id] = list(sample.events)
+                self.partial_texts[sample.id] = list(sample.events)
             if sample.result is not None and progress.record.is_open():
-                self.leftovers.append(sample)
+                self.released_samples.append(sample)
         self._bound_copies()
         events.log(
             events.Event.BATCH_CLOSED,
@@ -294,7 +296,7 @@
             if item.id not in listed:
                 sample = samples.Sample(item, record, route)
                 sample.waiting_since = now
-                sample.events = self.texts.pop(item.id, [])
+                sample.events = self.partial_texts.pop(item.id, [])
                 progress.samples[item.id] = sample
                 self._adopt(sample)
         self.progress[record.batch.id] = progress
@@ -333,7 +335,9 @@
         ]
         self._move_slow_runs(now, waiting)
         usable = [
-            s for s in self.servers.of_service(self.service) if s.is_usable(now)
+            s
+            for s in self.servers.list_servers(self.service)
+            if s.is_usable(now)
         ]
         for choice in placement.choose_each(
             waiting, usable, self.prompts, now, now_ms, self.generator.token_s
@@ -352,7 +356,7 @@
         """Ends runs that would be done sooner on another engine."""
         free = [
             s
-            for s in self.servers.of_service(self.service)
+            for s in self.servers.list_servers(self.service)
             if s.is_usable(now) and s.load(now) < s.entry.slots
         ]
         if not free:
@@ -365,14 +369,14 @@
         for sample in self.open_samples():
             if sample.stage is not samples.Stage.GENERATING:
                 continue
-            pace = moving.Pace(
+            pace = migration.RunProgress(
                 sample.run_events,
                 len(sample.events),
                 sample.event_s(now),
                 sample.moves,
             )
             expected = sample.expected_tokens() / self.generator.event_tokens
-            if not moving.is_worth_moving(pace, least_s, expected):
+            if not migration.should_migrate(pace, least_s, expected):
                 continue
             here = self.servers.servers.get(sample.server)
             others = [
@@ -384,10 +388,10 @@
             if not others or here is None or room <= taken:
                 continue
             best = min(placement.finish_cost(s, now, False) for s in others)
-            if moving.is_worth_moving(pace, best * event_s, expected):
+            if migration.should_migrate(pace, best * event_s, expected):
                 sample.moves += 1
                 taken += 1
-                here.note_pace(pace.event_s / max(1e-6, event_s))
+                here.update_relative_latency(pace.event_s / max(1e-6, event_s))
                 sample.run_scope.cancel()
 
     def _note_prompt(self, choice: placement.Choice) -> None:
--- a/src/kingcupscale/leading.py
+++ b/src/kingcupscale/leadership.py
@@ -26,7 +26,7 @@
 FORGET_PAUSE_S = 5.0
 # With fewer nodes, the one that leads a service runs all of its models: it
 # then knows every sample on the engines. One node can't carry larger fleets'.
-SPREAD_FROM_NODES = 8
+MIN_NODES_TO_DISTRIBUTE = 8
 # A node that has stopped running samples gives its lease back within this
 # time, also to a slow store.
 TAKEOVER_S = 3.0
@@ -45,42 +45,42 @@
     """
 
     def __init__(self, runtime: "runtimes.Runtime", service: str) -> None:
-        around = runtime.surroundings
+        deps = runtime.dependencies
         self.runtime = runtime
         self.service = service
         self.tenure = tenures.Tenure(
-            service, runtime.session, runtime.feed, around.clock
+            service, runtime.session, runtime.feed, deps.clock
         )
         self.coordinator = coordinators.Coordinator(
             service,
             runtime.batch_cache,
-            runtime.roster,
-            around.servers,
+            runtime.server_registry,
+            deps.servers,
             runtime.forwarder,
-            runtime.measures,
-            around.clock,
-            runtime.catalogue_now,
+            runtime.metrics,
+            deps.clock,
+            runtime.current_catalogue,
             runtime.view,
         )
         self.loader = loaders.Loader(
             self.tenure,
-            runtime.roster,
-            around.servers,
-            runtime.directives.named_versions,
-            around.clock,
-            runtime.catalogue_now,
+            runtime.server_registry,
+            deps.servers,
+            runtime.cluster_state.target_versions,
+            deps.clock,
+            runtime.current_catalogue,
             self._tell,
         )
         self.sizer = fleetsize.Sizer(
             self.tenure,
-            runtime.roster,
-            around.provider,
-            around.clock,
-            runtime.catalogue_now,
-            lambda: runtime.open_items(service),
+            runtime.server_registry,
+            deps.provider,
+            deps.clock,
+            runtime.current_catalogue,
+            lambda: runtime.count_open_items(service),
         )
         self.nursery: trio.Nursery | None = None
-        self.retention = retention.Retention(runtime.batch_cache, around.clock)
+        self.retention = retention.Retention(runtime.batch_cache, deps.clock)
         self.forgot_at = 0.0
 
     async def run(self) -> None:
@@ -112,16 +112,16 @@
 
     def _tell(self, state: loads.LoadState) -> None:
         """Takes over a load's state and passes it on to the model's node."""
-        self.runtime.take_load(state)
+        self.runtime.apply_load_state(state)
         peers = self.runtime.peers
-        holder = peers.holder(model_duty(self.service, state.model))
+        holder = peers.holder(model_duty_name(self.service, state.model))
         address = peers.addresses().get(holder)
         if address and self.nursery is not None:
             self.nursery.start_soon(self._send, address, state)
 
     async def _send(self, address: str, state: loads.LoadState) -> None:
         try:
-            await self.runtime.surroundings.loads.send(address, state)
+            await self.runtime.dependencies.loads.send(address, state)
         except calls.PeerError as e:
             # The engine's own entry and its refusals tell the same, later.
             events.log(events.Event.PEER_SILENT, address=address, reason=str(e))
@@ -129,7 +129,7 @@
 
 def is_small_fleet(runtime: "runtimes.Runtime") -> bool:
     """Tells whether one node can run all models of a service."""
-    return len(runtime.candidates.names()) < SPREAD_FROM_NODES
+    return len(runtime.candidates.names()) < MIN_NODES_TO_DISTRIBUTE
 
 
 def rank(runtime: "runtimes.Runtime", duty: str) -> int:
@@ -141,7 +141,7 @@
     )
 
 
-def model_duty(service: str, model: str) -> str:
+def model_duty_name(service: str, model: str) -> str:
     """Returns the name of the duty of running a model's samples."""
     return f"{service}/{model}"
 
@@ -158,7 +158,7 @@
     def __init__(
         self, runtime: "runtimes.Runtime", leader: ServiceDuty, model: str
     ) -> None:
-        around = runtime.surroundings
+        deps = runtime.dependencies
         self.runtime = runtime
         self.leader = leader
         self.service = leader.service
@@ -170,22 +170,22 @@
         self.heard_at = 0.0
         self.probed_at = 0.0
         self.tenure = tenures.Tenure(
-            model_duty(leader.service, model),
+            model_duty_name(leader.service, model),
             runtime.session,
             runtime.feed,
-            around.clock,
+            deps.clock,
         )
         self.replicator = replication.SampleReplicator(
             self.coordinator,
             model,
-            around.copies,
-            around.clock,
+            deps.copies,
+            deps.clock,
             runtime.settings.node,
             self._find_successor,
             runtime.peers.note_failure,
         )
 
-    def wants_batches(self) -> bool:
+    def needs_batches(self) -> bool:
         """Tells whether this node runs the model's batches, or would next."""
         node = self.runtime.settings.node
         holder = self.runtime.peers.holder(self.tenure.name)
@@ -271,7 +271,7 @@
         if is_small_fleet(self.runtime) or self.runtime.feed.is_lost:
             return False
         found = self.runtime.candidates
-        surplus = candidates.find_surplus(
+        surplus = candidates.find_surplus_duty(
             [*self.runtime.services, *self.runtime.models],
             found.holders(),
             found.node,
--- a/src/kingcupscale/operating/exposition.py
+++ b/src/kingcupscale/operating/exposition.py
@@ -36,10 +36,10 @@
 
     def _gauges(self) -> list[str]:
         runtime = self.runtime
-        configured = runtime.directives.catalogue
+        configured = runtime.cluster_state.catalogue
         usable = [
             server
-            for server in runtime.roster.servers.values()
+            for server in runtime.server_registry.servers.values()
             if server.is_usable(runtime.clock.monotonic())
         ]
         return [
@@ -47,15 +47,15 @@
             f"configuration_version {configured.version if configured else 0}",
             f"mirror_age_seconds {runtime.feed.age_s():.3f}",
             f"mirror_revision {runtime.feed.revision}",
-            f"duties_held {runtime.duties_held()}",
-            f"servers_known {len(runtime.roster.servers)}",
+            f"duties_held {runtime.count_held_duties()}",
+            f"servers_known {len(runtime.server_registry.servers)}",
             f"servers_usable {len(usable)}",
             f"batches_known {len(runtime.batch_cache.records)}",
             f"readers_waiting {runtime.batch_cache.waiting_readers}",
         ]
 
     def _store_calls(self) -> list[str]:
-        calls = self.runtime.surroundings.store.calls
+        calls = self.runtime.dependencies.store.calls
         return [
             f'store_calls_total{{call="{name}"}} {count}'
             for name, count in sorted(calls.items())
@@ -73,7 +73,7 @@
     def _histograms(self) -> list[str]:
         return [
             row
-            for summary in self.runtime.measures.summaries()
+            for summary in self.runtime.metrics.summaries()
             for row in _rows_of(summary)
         ]
 
--- a/src/kingcupscale/platform/servers.py
+++ b/src/kingcupscale/platform/servers.py
@@ -5,20 +5,20 @@
 
 import orjson
 
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
 from kingcupscale.platform import documents
 from kingcupscale.platform import names
 from kingcupscale.storage import tenure as tenures
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
 # An order is acknowledged before it is carried out, so its answer is short.
 ORDER_TIMEOUT_S = 0.8
 # Reports name models and runs, in some ten bytes each.
-REPORT_BYTES_MOST = 256 * 1024
+MAX_REPORT_BYTES = 256 * 1024
 # An event holds a few tokens; a longer one never ends.
-EVENT_BYTES_MOST = 64 * 1024
+MAX_EVENT_BYTES = 64 * 1024
 
 _ORDER_OUTCOMES = {
     202: serverclient.OrderOutcome.ACCEPTED,
@@ -32,15 +32,15 @@
     """A ``ServerClient`` over HTTP.
 
     Args:
-        exchanger: Carries the calls.
+        http_client: Carries the calls.
     """
 
-    def __init__(self, exchanger: exchange.Exchanger) -> None:
-        self.exchanger = exchanger
+    def __init__(self, http_client: httpclient.HttpClient) -> None:
+        self.http_client = http_client
 
     @contextlib.asynccontextmanager
     async def run(
-        self, server: roster.Server, call: serverclient.Call, connect_s: float
+        self, server: registry.Server, call: serverclient.Call, connect_s: float
     ) -> AsyncIterator[serverclient.Answer]:
         """Sends a request; leaving the context early abandons the answer."""
         request = message.Request(
@@ -54,7 +54,7 @@
         if call.check is not None:
             request.before_send = call.check
         try:
-            async with self.exchanger.open(
+            async with self.http_client.open(
                 server.entry.address, request, call.time_left_s
             ) as response:
                 _note_leaving(server, response)
@@ -68,8 +68,10 @@
                         f"answer to another request, {echoed}", True
                     )
                 yield answer
-        except exchange.ExchangeError as e:
-            raise serverclient.ServerError(e.reason, e.request_left) from e
+        except httpclient.RequestError as e:
+            raise serverclient.ServerError(
+                e.reason, e.may_have_been_sent
+            ) from e
 
     async def events(
         self, answer: serverclient.Answer
@@ -84,13 +86,13 @@
                 event = _decode_event(block, version)
                 version = event.version
                 yield event
-            if len(pending) > EVENT_BYTES_MOST:
+            if len(pending) > MAX_EVENT_BYTES:
                 raise serverclient.ServerError("an event without end", True)
         if pending.strip():
             raise serverclient.ServerError("stream ends inside an event", True)
 
     async def order(
-        self, server: roster.Server, order: serverclient.VersionOrder
+        self, server: registry.Server, order: serverclient.VersionOrder
     ) -> serverclient.OrderOutcome:
         """Gives an order and returns its ``OrderOutcome``."""
         body = {
@@ -113,7 +115,9 @@
             response.status, serverclient.OrderOutcome.REFUSED
         )
 
-    async def report(self, server: roster.Server) -> serverclient.EngineReport:
+    async def report(
+        self, server: registry.Server
+    ) -> serverclient.EngineReport:
         """Returns how an engine stands."""
         request = message.Request(
             "GET", "/report", "", {names.EXPECT_SERVER: server.id}
@@ -132,19 +136,21 @@
             raise serverclient.ServerError(f"report: {e!r}", False) from e
 
     async def _fetch(
-        self, server: roster.Server, request: message.Request
+        self, server: registry.Server, request: message.Request
     ) -> message.Response:
         request.headers["host"] = server.entry.address
         try:
-            response = await exchange.fetch(
-                self.exchanger,
+            response = await httpclient.fetch(
+                self.http_client,
                 server.entry.address,
                 request,
                 ORDER_TIMEOUT_S,
-                REPORT_BYTES_MOST,
+                MAX_REPORT_BYTES,
             )
-        except exchange.ExchangeError as e:
-            raise serverclient.ServerError(e.reason, e.request_left) from e
+        except httpclient.RequestError as e:
+            raise serverclient.ServerError(
+                e.reason, e.may_have_been_sent
+            ) from e
         except tenures.DutyLostError as e:
             raise serverclient.ServerError("duty not held", False) from e
         if names.SIGNATURE in response.headers:
@@ -154,20 +160,20 @@
         return response
 
 
-def _note_leaving(server: roster.Server, response: message.Response) -> None:
+def _note_leaving(server: registry.Server, response: message.Response) -> None:
     """Tells a server that it leaves, if this answer is its own.
 
     Another server may have got the address; it answers 421 with its own id.
     """
-    if response.headers.get(names.LEAVING, "").strip() != "1":
+    if response.headers.get(names.SERVER_LEAVING, "").strip() != "1":
         return
     answered_by = response.headers.get(names.SERVER_ID)
     if response.status != 421 or answered_by == server.id:
-        server.note_leaving()
+        server.mark_leaving()
 
 
 def _encode_headers(
-    server: roster.Server, call: serverclient.Call
+    server: registry.Server, call: serverclient.Call
 ) -> dict[str, str]:
     headers = dict(call.headers)
     headers["host"] = call.host
