--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -248,7 +248,7 @@
     ),
     Break(
         "copies pass over a node that is gone",
-        "batches/replication.py",
+        "batches/samplereplication.py",
         "            self.note_failure(name)\n",
         "",
         SITE + "test_lifecycle.SuccessionTest",
--- a/src/kingcupscale/leadership.py
+++ b/src/kingcupscale/leadership.py
@@ -8,8 +8,8 @@
 from kingcupscale import events
 from kingcupscale.batches import coordinator as coordinators
 from kingcupscale.batches import loader as loaders
-from kingcupscale.batches import replication
 from kingcupscale.batches import retention
+from kingcupscale.batches import samplereplication
 from kingcupscale.capacity import fleetsize
 from kingcupscale.peering import calls
 from kingcupscale.peering import loads
@@ -175,7 +175,7 @@
             runtime.feed,
             deps.clock,
         )
-        self.replicator = replication.SampleReplicator(
+        self.replicator = samplereplication.SampleReplicator(
             self.coordinator,
             model,
             deps.copies,
