--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -23,43 +23,43 @@
 
 
 SITE = "tests.platform."
-BOOK = "tests.batches.test_book"
+CACHE = "tests.batches.test_cache"
 
 BREAKS = (
     Break(
         "a result has one position",
-        "batches/book.py",
+        "batches/cache.py",
         "stores.Transaction(conditions, puts)",
         "stores.Transaction([], puts)",
-        BOOK,
+        CACHE,
     ),
     Break(
         "a reader hears of results without the store",
-        "batches/book.py",
+        "batches/cache.py",
         "self.feed.ask_anew()",
         "pass",
-        BOOK,
+        CACHE,
     ),
     Break(
         "no result is missed by a node that takes a copy",
-        "batches/source.py",
+        "batches/fetching.py",
         "if copy is None or copy.revision < revision:",
         "if copy is None:",
-        BOOK,
+        CACHE,
     ),
     Break(
         "no result is missed while a batch is loaded",
-        "batches/book.py",
-        "for entry in loading.entries:",
+        "batches/cache.py",
+        "for entry in pending.entries:",
         "for entry in ():",
-        BOOK,
+        CACHE,
     ),
     Break(
         "no result is missed after lost history",
         "storage/feed.py",
         "                    self.on_reloaded()",
         "                    pass",
-        BOOK,
+        CACHE,
     ),
     Break(
         "a mirror is no newer than it says",
@@ -130,7 +130,7 @@
     ),
     Break(
         "a batch that may be kept is not said to be refused",
-        "batches/acceptance.py",
+        "batches/transactions.py",
         "    if may_have_run:\n        raise",
         "    if False:\n        raise",
         SITE + "test_submissions.SubmissionTest"
@@ -141,14 +141,14 @@
         "batches/retention.py",
         "return record is not None and not record.is_open()",
         "return True",
-        BOOK,
+        CACHE,
     ),
     Break(
         "an ended batch stays ended",
-        "batches/book.py",
-        "            record.note_ended()\n        self.records[batch_id]",
+        "batches/cache.py",
+        "            record.mark_ended()\n        self.records[batch_id]",
         "            pass\n        self.records[batch_id]",
-        BOOK,
+        CACHE,
     ),
     Break(
         "a result is listed in its own batch only",
@@ -248,7 +248,7 @@
     ),
     Break(
         "copies pass over a node that is gone",
-        "batches/copying.py",
+        "batches/samplereplication.py",
         "            self.note_failure(name)\n",
         "",
         SITE + "test_lifecycle.SuccessionTest",
@@ -314,14 +314,14 @@
     ),
     Break(
         "a batch is shown to its organisation only",
-        "batches/book.py",
+        "batches/cache.py",
         "if record is None or record.batch.organisation != organisation:",
         "if record is None:",
         SITE + "test_submissions",
     ),
     Break(
         "an accepted batch is in the store",
-        "batches/acceptance.py",
+        "batches/transactions.py",
         "            revision = await store.commit(transaction)\n"
         "            return revision is not None",
         "            return True",
@@ -337,7 +337,7 @@
     ),
     Break(
         "a batch that may be there is not said to be unknown",
-        "batches/source.py",
+        "batches/fetching.py",
         "        except stores.StoreError as e:\n"
         "            reason = e.reason\n"
         "        if asks_nodes and await",
@@ -357,10 +357,10 @@
     Break(
         "a planned stop hands over the last of all texts",
         "leadership.py",
-        "            await self.copier.hand_over()\n"
+        "            await self.replicator.hand_over()\n"
         "        self.coordinator.set_active(self.model, False)\n",
         "            self.coordinator.set_active(self.model, False)\n"
-        "            await self.copier.hand_over()\n",
+        "            await self.replicator.hand_over()\n",
         SITE + "test_lifecycle",
     ),
     Break(
@@ -442,14 +442,14 @@
     ),
     Break(
         "a node that starts reads first what calls need",
-        "batches/book.py",
+        "batches/cache.py",
         "        feed.defer(records.PREFIX)\n",
         "",
         SITE + "test_thundering_herd",
     ),
     Break(
         "an ended batch takes little",
-        "batches/acceptance.py",
+        "batches/transactions.py",
         "for number in range(parts):",
         "for number in range(0):",
         SITE + "test_thundering_herd",
@@ -562,9 +562,9 @@
     ),
     Break(
         "a rewritten specification is no new batch",
-        "batches/book.py",
+        "batches/cache.py",
         "is_new = entry.created == entry.revision",
         "is_new = True",
-        BOOK,
+        CACHE,
     ),
 )
--- a/src/kingcupscale/leadership.py
+++ b/src/kingcupscale/leadership.py
@@ -12,9 +12,9 @@
 from kingcupscale import candidates
 from kingcupscale import events
 from kingcupscale.batches import coordinator as coordinators
-from kingcupscale.batches import copying
 from kingcupscale.batches import loader as loaders
 from kingcupscale.batches import retention
+from kingcupscale.batches import samplereplication
 from kingcupscale.capacity import fleetsize
 from kingcupscale.peering import calls
 from kingcupscale.peering import loads
@@ -61,7 +61,7 @@
         )
         self.coordinator = coordinators.Coordinator(
             service,
-            runtime.book,
+            runtime.batch_cache,
             runtime.server_registry,
             deps.servers,
             runtime.forwarder,
@@ -88,7 +88,7 @@
             lambda: runtime.count_open_items(service),
         )
         self.nursery: trio.Nursery | None = None
-        self.retention = retention.Retention(runtime.book, deps.clock)
+        self.retention = retention.Retention(runtime.batch_cache, deps.clock)
         self.retention_ran_at = 0.0
 
     async def run(self) -> None:
@@ -116,7 +116,7 @@
             return
         self.retention_ran_at = now
         retention_s = self.runtime.settings.bounds.retention_s
-        await self.retention.forget_older_than(retention_s + RETENTION_MARGIN_S)
+        await self.retention.remove_older_than(retention_s + RETENTION_MARGIN_S)
 
     def _publish_load_state(self, state: loads.LoadState) -> None:
         """Applies a load's state here and sends it to the model's node."""
@@ -189,7 +189,7 @@
             runtime.feed,
             deps.clock,
         )
-        self.copier = copying.Copier(
+        self.replicator = samplereplication.SampleReplicator(
             self.coordinator,
             model,
             deps.copies,
@@ -218,7 +218,7 @@
     async def hand_over(self) -> None:
         """Hands the samples over to the next node and stops running them."""
         if self.coordinator.is_active(self.model):
-            await self.copier.hand_over()
+            await self.replicator.hand_over()
         self.coordinator.set_active(self.model, False)
 
     def take_over(self, sender: str) -> None:
@@ -247,7 +247,7 @@
             return False
         return now - self.last_probe_at > PROBE_INTERVAL_S and any(
             record.is_open() and record.batch.model == self.model
-            for record in self.runtime.book.records.values()
+            for record in self.runtime.batch_cache.records.values()
         )
 
     def _find_successor(self) -> tuple[str, str] | None:
@@ -266,7 +266,7 @@
         """Campaigns for the duty, and runs the samples while holding it."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._monitor_holder)
-            nursery.start_soon(self.copier.run)
+            nursery.start_soon(self.replicator.run)
             await tenures.hold(
                 self.tenure, self._do_nothing, self._rank, DUTY_INTERVAL_S
             )
@@ -315,7 +315,7 @@
         holders = self.runtime.candidates.holders()
         if target is None or target[0] in holders.values():
             return
-        if not await self.copier.hand_over():
+        if not await self.replicator.hand_over():
             return
         self.coordinator.set_active(self.model, False)
         try:
