--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -1,4 +1,8 @@
-"""Running the batches of some models on one service's engines."""
+"""Runs the batches of some models on one service's engines.
+
+The coordinator keeps the samples of these batches, places them on engines,
+has finished texts scored, and has results written to the store.
+"""
 
 from collections.abc import Callable
 import traceback
@@ -26,20 +30,24 @@
 from kingcupscale.peering import handover
 from kingcupscale.storage import view as views
 
+# Longest pause of the run loop while samples are open, and otherwise. New
+# batches wake the loop; the pause is for changes that do not, such as times
+# that pass.
 TICK_S = 0.05
-# New batches wake the coordinator; this is for what nobody tells of.
 IDLE_TICK_S = 0.5
-# Pause before a sample goes on after an unexpected error of our own.
+# Pause before a sample runs again after an unexpected internal error.
 ERROR_PAUSE_S = 0.8
-# A copied text replaces one that is shorter by more events than this.
-ADOPTED_LEAD = 8
-# Texts of ended batches that are kept for items that come again.
-TEXTS_KEPT = 2000
+# A copied text replaces a sample's text if it has more than this many events
+# more.
+MIN_COPY_LEAD_EVENTS = 8
+# Upper limit of the partial texts and of the copied results that are kept for
+# items that this node may run later, and of the groups whose engines are kept.
+MAX_KEPT_ITEMS = 2000
 
 
 @attrs.define
 class Progress:
-    """Samples of one batch, by item."""
+    """The record of a batch that runs on this node, and its samples by item."""
 
     record: records.Record
     samples: dict[str, samples.Sample]
@@ -50,23 +58,24 @@
 
     Args:
         service: Name of the service.
-        batch_cache: The batches.
-        servers: The backend servers.
-        client: Calls them.
-        forward: Passes scoring calls on.
-        measures: Counters and histograms.
-        clock: Tells the time.
-        catalogue_now: Returns the configuration in force.
-        view: Tells whether batches' ends are known here.
+        batch_cache: The batches that this node knows.
+        servers: Registry of the backend servers.
+        client: Client for requests to engines.
+        call_forwarder: Forwards scoring calls.
+        node_metrics: Counters and histograms.
+        clock: Clock for times and pauses.
+        current_catalogue: Returns the configuration in force.
+        view: Tells whether this node's view of the store is recent enough to
+            include the ends of batches.
 
     Attributes:
         active_models: Models whose batches this node runs.
-        partial_texts: Texts, by item, to continue when this node runs the
-            item: from other nodes' copies, and of batches it has released.
+        partial_texts: Events of texts that a run can resume, by item: from
+            other nodes' copies, and of batches that this node has released.
         copied_results: Results from other nodes' copies, by batch and item.
         released_samples: Finished samples of open batches that another node
-            runs by now. They are still listed here; the result that is
-            listed first stands.
+            runs by now. This node still writes their results; the result
+            that is written first counts.
     """
 
     def __init__(
@@ -75,10 +84,10 @@
         batch_cache: caches.BatchCache,
         servers: registry.ServerRegistry,
         client: serverclient.ServerClient,
-        forward: forwarder.Forwarder,
-        measures: metrics.Metrics,
+        call_forwarder: forwarder.Forwarder,
+        node_metrics: metrics.Metrics,
         clock: clocks.Clock,
-        catalogue_now: Callable[[], catalogue.Catalogue | None],
+        current_catalogue: Callable[[], catalogue.Catalogue | None],
         view: views.View,
     ) -> None:
         guard = sendguard.SendGuard(view)
@@ -88,29 +97,29 @@
         self.servers = servers
         self.generator = generation.Generator(client, clock, guard, self._fail)
         self.scorer = scoring.Scorer(
-            forward,
+            call_forwarder,
             clock,
-            catalogue_now,
+            current_catalogue,
             guard,
             self._finish,
             self._fail,
         )
         self.result_writer = resultwriter.ResultWriter(
-            service, batch_cache, clock, self._samples_to_list
+            service, batch_cache, clock, self._samples_to_write
         )
-        self.measures = measures
+        self.metrics = node_metrics
         self.clock = clock
-        self.catalogue_now = catalogue_now
+        self.current_catalogue = current_catalogue
         self.active_models: set[str] = set()
         self.progress: dict[str, Progress] = {}
-        self.prompts: dict[str, set[str]] = {}
+        self.prompt_holders: dict[str, set[str]] = {}
         self.partial_texts: dict[str, list[serverclient.StreamEvent]] = {}
         self.copied_results: dict[tuple[str, str], batches.Result] = {}
         self.released_samples: list[samples.Sample] = []
-        self.woken = trio.Event()
+        self.wake_event = trio.Event()
 
     def open_samples(self) -> list[samples.Sample]:
-        """Returns all samples of open batches."""
+        """Returns the samples of all batches that this node runs."""
         return [
             sample
             for progress in self.progress.values()
@@ -118,14 +127,17 @@
         ]
 
     def has_open_batches(self, model: str) -> bool:
-        """Tells whether this node runs a batch of a model now."""
+        """Tells whether this node runs a batch of a model."""
         return any(
             progress.record.batch.model == model
             for progress in self.progress.values()
         )
 
-    def unlisted_samples(self, model: str) -> list[samples.Sample]:
-        """Returns a model's samples that would be lost with this node."""
+    def unsaved_samples(self, model: str) -> list[samples.Sample]:
+        """Returns a model's samples whose progress only this node has.
+
+        They have a text or a result, but no result in the store.
+        """
         return [
             sample
             for sample in [*self.open_samples(), *self.released_samples]
@@ -134,7 +146,8 @@
             and not sample.record.has_result(sample.id)
         ]
 
-    def _samples_to_list(self) -> list[samples.Sample]:
+    def _samples_to_write(self) -> list[samples.Sample]:
+        """Returns samples that may have a result that is not yet written."""
         self.released_samples = [
             sample
             for sample in self.released_samples
@@ -144,13 +157,13 @@
         return [*self.open_samples(), *self.released_samples]
 
     def apply_copy(self, copy: handover.Copy) -> bool:
-        """Takes over texts that another node has made.
+        """Applies a copy of another node's texts and results.
 
         Returns:
-            Whether all of them went on with what is known of them here.
+            Whether each of the texts continues the text that is known here.
         """
         fits = True
-        present = {sample.id: sample for sample in self.open_samples()}
+        open_samples = {sample.id: sample for sample in self.open_samples()}
         for text in copy.texts:
             known = self.partial_texts.get(text.item, [])
             if not text.follows(known):
@@ -161,14 +174,14 @@
             self.partial_texts[text.item] = known + list(text.events)
             if text.result is not None:
                 self.copied_results[text.batch_id, text.item] = text.result
-            sample = present.get(text.item)
+            sample = open_samples.get(text.item)
             if sample is not None:
-                self._adopt(sample)
-        self._bound_copies()
+                self._apply_copied_progress(sample)
+        self._evict_copies()
         return fits
 
-    def _adopt(self, sample: samples.Sample) -> None:
-        """Goes on with a copied text or result, if it is ahead."""
+    def _apply_copied_progress(self, sample: samples.Sample) -> None:
+        """Applies a copied result or a longer copied text to a sample."""
         if sample.result is not None:
             return
         text = self.partial_texts.get(sample.id, [])
@@ -180,14 +193,15 @@
             self.result_writer.has_results.set()
         elif (
             sample.stage is not samples.Stage.SCORING
-            and len(text) > len(sample.events) + ADOPTED_LEAD
+            and len(text) > len(sample.events) + MIN_COPY_LEAD_EVENTS
         ):
             sample.run_scope.cancel()
             sample.events = list(text)
 
-    def _bound_copies(self) -> None:
+    def _evict_copies(self) -> None:
+        """Removes the oldest copies above the limit."""
         for kept in (self.partial_texts, self.copied_results):
-            while len(kept) > TEXTS_KEPT:
+            while len(kept) > MAX_KEPT_ITEMS:
                 del kept[next(iter(kept))]
 
     def is_active(self, model: str) -> bool:
@@ -195,65 +209,66 @@
         return model in self.active_models
 
     def set_active(self, model: str, is_active: bool) -> None:
-        """Takes up a model's batches, or lets them go."""
+        """Starts or stops running a model's batches."""
         if is_active != self.is_active(model):
             self.active_models ^= {model}
-            self._follow_batches()
+            self._sync_batches()
             self.wake()
 
     def wake(self) -> None:
-        """Has the samples looked at again at once."""
-        self.woken.set()
+        """Makes the run loop continue at once."""
+        self.wake_event.set()
 
     async def run(self) -> None:
-        """Runs batches while active, until cancelled."""
+        """Runs the batches of the active models until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.result_writer.run)
             while True:
-                self._follow_batches()
+                self._sync_batches()
                 self.dispatch(nursery)
                 await self._wait_for_work()
 
     async def _wait_for_work(self) -> None:
-        """Waits for the next look, which is sooner while samples are open."""
+        """Waits until woken or until the pause of the run loop is over."""
         with trio.move_on_after(TICK_S if self.progress else IDLE_TICK_S):
-            await self.woken.wait()
-        self.woken = trio.Event()
+            await self.wake_event.wait()
+        self.wake_event = trio.Event()
 
-    def _follow_batches(self) -> None:
-        """Takes up new batches and lets go of closed ones."""
-        self._hear_of_changes()
+    def _sync_batches(self) -> None:
+        """Starts new batches and releases ended and inactive ones."""
+        self._update_records()
         for batch_id in list(self.progress):
             progress = self.progress[batch_id]
-            is_over = not progress.record.is_open()
-            if is_over or not self.is_active(progress.record.batch.model):
-                self._let_go(progress)
+            is_ended = not progress.record.is_open()
+            if is_ended or not self.is_active(progress.record.batch.model):
+                self._release_batch(progress)
         for batch_id, record in list(self.batch_cache.records.items()):
-            is_ours = self.is_active(record.batch.model)
-            is_known = batch_id in self.progress
-            if is_ours and not is_known and record.is_open():
-                self._take_up(record)
+            is_active = self.is_active(record.batch.model)
+            is_running = batch_id in self.progress
+            if is_active and not is_running and record.is_open():
+                self._start_batch(record)
 
-    def _hear_of_changes(self) -> None:
-        """Goes on with the book's objects of batches that were loaded anew.
+    def _update_records(self) -> None:
+        """Replaces the records of batches that the cache has loaded again.
 
-        The book may let go of a batch that is run here until its interest in
-        the batch's model is set; only the new object hears of changes.
+        The cache may evict a batch that runs here until its interest in the
+        batch's model is set. After that, only the new record is updated.
         """
         for batch_id, progress in self.progress.items():
-            held = self.batch_cache.records.get(batch_id)
-            if held is None and self.batch_cache.has_end(batch_id):
+            cached = self.batch_cache.records.get(batch_id)
+            if cached is None and self.batch_cache.has_end(batch_id):
                 progress.record.mark_ended()
-            if held is None or held is progress.record:
+            if cached is None or cached is progress.record:
                 continue
-            progress.record = held
+            progress.record = cached
             for sample in progress.samples.values():
-                sample.record = held
+                sample.record = cached
         for sample in self.released_samples:
-            held = self.batch_cache.records.get(sample.record.batch.id)
-            sample.record = held or sample.record
+            cached = self.batch_cache.records.get(sample.record.batch.id)
+            sample.record = cached or sample.record
 
-    def _let_go(self, progress: Progress) -> None:
+    def _release_batch(self, progress: Progress) -> None:
+        """Stops running a batch and keeps its texts and results."""
         del self.progress[progress.record.batch.id]
         for sample in progress.samples.values():
             sample.scope.cancel()
@@ -261,7 +276,7 @@
                 self.partial_texts[sample.id] = list(sample.events)
             if sample.result is not None and progress.record.is_open():
                 self.released_samples.append(sample)
-        self._bound_copies()
+        self._evict_copies()
         events.log(
             events.Event.BATCH_CLOSED,
             batch=progress.record.batch.id,
@@ -282,8 +297,9 @@
     def _age_s(self, record: records.Record) -> float:
         return self.clock.now().timestamp() - record.submitted_ms / 1000
 
-    def _take_up(self, record: records.Record) -> None:
-        configured = self.catalogue_now()
+    def _start_batch(self, record: records.Record) -> None:
+        """Starts running a batch, resuming the texts that are known here."""
+        configured = self.current_catalogue()
         if configured is None:
             return
         route = self._find_route(configured, record)
@@ -298,7 +314,7 @@
                 sample.waiting_since = now
                 sample.events = self.partial_texts.pop(item.id, [])
                 progress.samples[item.id] = sample
-                self._adopt(sample)
+                self._apply_copied_progress(sample)
         self.progress[record.batch.id] = progress
         events.log(
             events.Event.BATCH_TAKEN_UP,
@@ -315,7 +331,7 @@
     def _find_route(
         self, configured: catalogue.Catalogue, record: records.Record
     ) -> catalogue.Route | None:
-        """Returns a batch's route if its service is this one."""
+        """Returns a batch's route; None if it leads to another service."""
         for item in record.batch.items[:1]:
             route = configured.find_route(record.batch.host, item.path)
             names = [share.service for share in route.shares] if route else []
@@ -324,10 +340,10 @@
         return None
 
     def dispatch(self, nursery: trio.Nursery) -> None:
-        """Sends waiting samples to engines with room."""
+        """Starts runs of waiting samples on engines with free slots."""
         now = self.clock.monotonic()
         now_ms = int(self.clock.now().timestamp() * 1000)
-        self._give_up_old(now_ms)
+        self._fail_expired(now_ms)
         if not self.view.is_current():
             return
         waiting = [
@@ -339,21 +355,31 @@
             for s in self.servers.list_servers(self.service)
             if s.is_usable(now)
         ]
-        for choice in placement.place_by_slack(
-            waiting, usable, self.prompts, now, now_ms, self.generator.token_s
+        for assignment in placement.place_by_slack(
+            waiting,
+            usable,
+            self.prompt_holders,
+            now,
+            now_ms,
+            self.generator.token_s,
         ):
-            choice.sample.stage = samples.Stage.GENERATING
-            choice.sample.server = choice.server.id
-            # Made here, so that a cancellation holds before the task begins.
-            choice.sample.scope = trio.CancelScope()
-            choice.server.in_flight += 1
-            self._note_prompt(choice)
-            nursery.start_soon(self._run_guarded, choice)
+            assignment.sample.stage = samples.Stage.GENERATING
+            assignment.sample.server = assignment.server.id
+            # Created before the task starts, so that a cancellation in
+            # between takes effect.
+            assignment.sample.scope = trio.CancelScope()
+            assignment.server.in_flight += 1
+            self._record_prompt(assignment)
+            nursery.start_soon(self._run_task, assignment)
 
     def _move_slow_runs(
         self, now: float, waiting: list[samples.Sample]
     ) -> None:
-        """Ends runs that would be done sooner on another engine."""
+        """Cancels runs whose samples would finish sooner on another engine.
+
+        Such a sample waits again, and keeps its text for the next run. Free
+        slots are left for the samples that are already waiting.
+        """
         free = [
             s
             for s in self.servers.list_servers(self.service)
@@ -361,76 +387,84 @@
         ]
         if not free:
             return
-        taken = len(waiting)
+        needed_slots = len(waiting)
         event_s = self.generator.event_s
-        least_s = event_s * min(
+        min_event_s = event_s * min(
             placement.completion_cost(s, now, False) for s in free
         )
         for sample in self.open_samples():
             if sample.stage is not samples.Stage.GENERATING:
                 continue
-            pace = moving.RunProgress(
+            run = moving.RunProgress(
                 sample.run_events,
                 len(sample.events),
                 sample.seconds_per_event(now),
                 sample.moves,
             )
             expected = sample.expected_tokens() / self.generator.event_tokens
-            if not moving.should_move(pace, least_s, expected):
+            if not moving.should_move(run, min_event_s, expected):
                 continue
-            here = self.servers.servers.get(sample.server)
-            others = [
+            current = self.servers.servers.get(sample.server)
+            candidates = [
                 s
                 for s in free
                 if s.id != sample.server and placement.can_run(sample, s, now)
             ]
-            room = sum(s.entry.slots - s.in_flight for s in others)
-            if not others or here is None or room <= taken:
+            free_slots = sum(s.entry.slots - s.in_flight for s in candidates)
+            if not candidates or current is None or free_slots <= needed_slots:
                 continue
-            best = min(placement.completion_cost(s, now, False) for s in others)
-            if moving.should_move(pace, best * event_s, expected):
+            lowest_cost = min(
+                placement.completion_cost(s, now, False) for s in candidates
+            )
+            if moving.should_move(run, lowest_cost * event_s, expected):
                 sample.moves += 1
-                taken += 1
-                here.update_relative_latency(pace.event_s / max(1e-6, event_s))
+                needed_slots += 1
+                current.update_relative_latency(
+                    run.event_s / max(1e-6, event_s)
+                )
                 sample.run_scope.cancel()
 
-    def _note_prompt(self, choice: placement.Assignment) -> None:
-        if len(self.prompts) > TEXTS_KEPT:
-            self.prompts.clear()
-        group = choice.sample.item.group
-        self.prompts.setdefault(group, set()).add(choice.server.id)
+    def _record_prompt(self, assignment: placement.Assignment) -> None:
+        """Records that an engine's prefix cache will hold a group's prompt."""
+        if len(self.prompt_holders) > MAX_KEPT_ITEMS:
+            self.prompt_holders.clear()
+        group = assignment.sample.item.group
+        self.prompt_holders.setdefault(group, set()).add(assignment.server.id)
 
-    def _give_up_old(self, now_ms: int) -> None:
+    def _fail_expired(self, now_ms: int) -> None:
+        """Fails waiting samples that exceed their route's maximum age."""
         for sample in self.open_samples():
             age_s = (now_ms - sample.record.submitted_ms) / 1000
             is_waiting = sample.stage is samples.Stage.WAITING
             if is_waiting and age_s > sample.route.max_age_s:
-                self._fail(sample, "too old")
+                self._fail(sample, "exceeded the route's maximum age")
 
-    async def _run_guarded(self, choice: placement.Assignment) -> None:
+    async def _run_task(self, assignment: placement.Assignment) -> None:
         """Runs a sample; an unexpected error ends only this run."""
         try:
-            await self._run_sample(choice)
+            await self._run_sample(assignment)
         except Exception as e:
             events.log(
                 events.Event.REQUEST_FAILED,
                 kind=type(e).__name__,
-                item=choice.sample.id,
+                item=assignment.sample.id,
                 trace=traceback.format_tb(e.__traceback__),
             )
-            choice.sample.stage = samples.Stage.WAITING
-            choice.sample.not_before = self.clock.monotonic() + ERROR_PAUSE_S
+            assignment.sample.stage = samples.Stage.WAITING
+            assignment.sample.not_before = (
+                self.clock.monotonic() + ERROR_PAUSE_S
+            )
 
-    async def _run_sample(self, choice: placement.Assignment) -> None:
-        sample, server = choice.sample, choice.server
-        is_whole = False
+    async def _run_sample(self, assignment: placement.Assignment) -> None:
+        sample, server = assignment.sample, assignment.server
+        is_complete = False
         with sample.scope:
             try:
-                is_whole = await self.generator.run(sample, server)
+                is_complete = await self.generator.run(sample, server)
             finally:
                 server.in_flight -= 1
                 self.wake()
-            if is_whole:
+            if is_complete:
                 sample.stage = samples.Stage.SCORING
                 await self.scorer.score(sample)
         if sample.stage is samples.Stage.GENERATING:
@@ -438,9 +472,9 @@
             sample.waiting_since = self.clock.monotonic()
 
     def _finish(self, sample: samples.Sample, score: str) -> None:
-        """Makes the result of a scored sample."""
+        """Sets the result of a scored sample and has it written."""
         sample.finish(score)
-        self.measures.record(
+        self.metrics.record(
             sample.record.batch.organisation,
             sample.route.name,
             metrics.Measure.SAMPLE_MS,
@@ -449,7 +483,7 @@
         self.result_writer.has_results.set()
 
     def _fail(self, sample: samples.Sample, reason: str) -> None:
-        """Makes the result of a sample that can't be done."""
+        """Fails a sample that can't be completed and has that written."""
         sample.fail()
         events.log(events.Event.SAMPLE_FAILED, item=sample.id, reason=reason)
         self.result_writer.has_results.set()
--- a/src/kingcupscale/batches/samplereplication.py
+++ b/src/kingcupscale/batches/samplereplication.py
@@ -122,7 +122,7 @@
     def _collect(self) -> list[handover.Text]:
         texts = []
         open_items = set()
-        for sample in self.coordinator.unlisted_samples(self.model):
+        for sample in self.coordinator.unsaved_samples(self.model):
             open_items.add(sample.id)
             sent = self.sent.get(sample.id, 0)
             if sent > len(sample.events):
--- a/src/kingcupscale/leadership.py
+++ b/src/kingcupscale/leadership.py
@@ -212,7 +212,7 @@
             holder == node
             or others[:1] == [node]
             or self.coordinator.is_active(self.model)
-            or bool(self.coordinator.unlisted_samples(self.model))
+            or bool(self.coordinator.unsaved_samples(self.model))
         )
 
     async def hand_over(self) -> None:
