--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -36,7 +36,7 @@
     Break(
         "a reader hears of results without the store",
         "batches/book.py",
-        "self.feed.ask_anew()",
+        "self.mirror.restart_follow()",
         "pass",
         BOOK,
     ),
@@ -56,7 +56,7 @@
     ),
     Break(
         "no result is missed after lost history",
-        "storage/feed.py",
+        "storage/mirror.py",
         "                    self.on_reloaded()",
         "                    pass",
         BOOK,
@@ -64,14 +64,14 @@
     Break(
         "a mirror is no newer than it says",
         "peering/relay.py",
-        "asked_at - self.feed.current_at",
+        "asked_at - self.mirror.current_at",
         "0.0",
         "tests.storage.test_relay",
     ),
     Break(
         "a follower skips no change",
         "peering/relay.py",
-        "        found = self.feed.log.since(position)\n"
+        "        found = self.mirror.log.since(position)\n"
         "        if found is None or",
         "        if not found or",
         "tests.storage.test_relay",
@@ -160,10 +160,10 @@
     ),
     Break(
         "a mirror that missed a change is read anew",
-        "storage/feed.py",
-        "elif now - self.differs_since > DIFFERS_S:",
+        "storage/mirror.py",
+        "elif now - self.differs_since > MAX_DIFFERENCE_S:",
         "elif False:",
-        "tests.storage.test_feed",
+        "tests.storage.test_mirror",
     ),
     Break(
         "a closed session holds nothing",
@@ -442,7 +442,7 @@
     Break(
         "a node that starts reads first what calls need",
         "batches/book.py",
-        "        feed.defer(records.PREFIX)\n",
+        "        mirror.defer_prefix(records.PREFIX)\n",
         "",
         SITE + "test_herd",
     ),
--- a/src/kingcupscale/batches/book.py
+++ b/src/kingcupscale/batches/book.py
@@ -15,7 +15,7 @@
 from kingcupscale.batches import source as sources
 from kingcupscale.storage import detour
 from kingcupscale.storage import entries
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 
 # A value travels as base64, so three quarters of the largest value, less some
@@ -59,7 +59,7 @@
     gets one position and a position one result, whoever writes.
 
     Args:
-        feed: The mirror of the store.
+        mirror: The mirror of the store.
         store: Where batches are written.
         clock: Tells the time.
         value_bytes: Largest value that the store holds.
@@ -78,17 +78,17 @@
 
     def __init__(
         self,
-        feed: feeds.Feed,
+        mirror: mirrors.StoreMirror,
         store: detour.DetourStore,
         clock: clocks.Clock,
         value_bytes: int,
         fetch_copy: sources.FetchCopy,
     ) -> None:
-        self.feed = feed
+        self.mirror = mirror
         self.store = store
         self.clock = clock
         self.part_bytes = int(value_bytes * VALUE_SHARE)
-        self.source = sources.Source(feed, store, clock, fetch_copy)
+        self.source = sources.Source(mirror, store, clock, fetch_copy)
         self.records: dict[str, records.Record] = {}
         self.interest = interests.Interest()
         self.known: dict[str, Known] = {}
@@ -100,11 +100,11 @@
         self.waiting_parts: dict[str, dict[str, bytes]] = {}
         self.asked_anew_at = -ASK_ANEW_S
         self.on_change: Callable[[], None] = _ignore
-        feed.leave_out(records.RESULTS_PREFIX)
-        feed.defer(records.PREFIX)
-        feed.subscribe(records.PREFIX, self._take_head)
-        feed.subscribe(records.RESULTS_PREFIX, self._take_results)
-        feed.on_reloaded = self._note_reloaded
+        mirror.exclude_prefix(records.RESULTS_PREFIX)
+        mirror.defer_prefix(records.PREFIX)
+        mirror.subscribe(records.PREFIX, self._take_head)
+        mirror.subscribe(records.RESULTS_PREFIX, self._take_results)
+        mirror.on_reloaded = self._note_reloaded
 
     def want(self, everything: bool, models: frozenset[str]) -> None:
         """Sets what has to be known here beside the batches that are read."""
@@ -135,7 +135,7 @@
             # which then has to be read; but a question that is dropped again
             # and again would never be answered.
             self.asked_anew_at = now
-            self.feed.ask_anew()
+            self.mirror.restart_follow()
 
     def update_interest(self) -> None:
         """Has other nodes asked for what is read or loaded here by now."""
@@ -146,14 +146,14 @@
         suffix = f"/{records.SPECIFICATION}/0"
         return [
             entry.key.removeprefix(records.PREFIX).removesuffix(suffix)
-            for entry in self.feed.under(records.PREFIX)
+            for entry in self.mirror.entries_under(records.PREFIX)
             if entry.key.endswith(suffix)
         ]
 
     def has_end(self, batch_id: str) -> bool:
         """Tells whether the store is known to hold a batch's end."""
         key = records.key_of(batch_id, records.END)
-        return key in self.feed.entries
+        return key in self.mirror.entries
 
     def _take_head(self, entry: stores.Entry) -> None:
         """Takes over a changed key that is not one of results."""
@@ -163,7 +163,7 @@
         if batch_id in self.loading:
             self.loading[batch_id].entries.append(entry)
             if kind == records.SPECIFICATION:
-                self.feed.drop_value(entry.key)
+                self.mirror.discard_value(entry.key)
         elif kind == records.SPECIFICATION and entry.value is None:
             self._note_forgotten(batch_id)
         elif kind == records.SPECIFICATION:
@@ -183,7 +183,7 @@
     def _take_specification(
         self, batch_id: str, number: str, entry: stores.Entry
     ) -> None:
-        self.feed.drop_value(entry.key)
+        self.mirror.discard_value(entry.key)
         if not entry.value or batch_id in self.records:
             return
         parts = self.waiting_parts.setdefault(batch_id, {})
@@ -213,7 +213,7 @@
     def _may_have_results(self, batch_id: str) -> bool:
         """Tells whether results may have come before their batch."""
         prefix = f"{records.RESULTS_PREFIX}{batch_id}/"
-        return self.feed.is_loading or bool(self.feed.under(prefix))
+        return self.mirror.is_loading or bool(self.mirror.entries_under(prefix))
 
     def _take_results(self, entry: stores.Entry) -> None:
         """Takes over a changed key of results."""
@@ -221,7 +221,7 @@
         batch_id, _, number = rest.partition("/")
         if entry.value is None:
             return
-        self.feed.drop_value(entry.key)
+        self.mirror.discard_value(entry.key)
         if batch_id in self.loading:
             self.loading[batch_id].entries.append(entry)
             return
@@ -260,7 +260,7 @@
             self.store, self.clock, transaction, patience_s, new.id
         )
         if is_new:
-            self.feed.hurry()
+            self.mirror.skip_pause()
         if is_new and self.reloads == reloads:
             # After a reload the mirror has told of it, not of first results.
             for put in transaction.puts:
@@ -361,7 +361,7 @@
             await self.source.refresh(record)
         if after >= len(record.results) and record.is_open():
             self.readers += 1
-            self.feed.hurry()
+            self.mirror.skip_pause()
             try:
                 await self._wait_for_result(record, after, wait_s)
             finally:
@@ -377,7 +377,7 @@
         told of the results.
         """
         is_whole = len(record.results) >= len(record.batch.items)
-        is_stale = self.feed.age_s() > STALE_S or not record.is_current
+        is_stale = self.mirror.age_s() > STALE_S or not record.is_current
         return is_stale and not is_whole
 
     async def _wait_for_result(
@@ -385,7 +385,7 @@
     ) -> None:
         with trio.move_on_after(wait_s):
             while after >= len(record.results) and record.is_open():
-                await self.feed.changed.wait()
+                await self.mirror.changed.wait()
 
     async def end(self, record: records.Record, patience_s: float) -> None:
         """Ends a batch; once it returns, the store knows it.
@@ -400,14 +400,14 @@
             self.store, self.clock, transaction, patience_s, record.batch.id
         )
         record.note_ended()
-        self.feed.hurry()
+        self.mirror.skip_pause()
 
     def _parts_of(self, record: records.Record) -> int:
         """Returns over how many values a batch is spread; 0 if unknown."""
-        if self.feed.is_loading:
+        if self.mirror.is_loading:
             return 0
         prefix = records.key_of(record.batch.id, records.SPECIFICATION)
-        return len(self.feed.under(prefix + "/"))
+        return len(self.mirror.entries_under(prefix + "/"))
 
     async def append(
         self, additions: list[tuple[records.Record, records.Chunk]]
@@ -432,10 +432,10 @@
                 await self.source.refresh(record)
             return False
         for put in puts:
-            self.feed.apply(
+            self.mirror.apply(
                 stores.Entry(put.key, put.value, revision, revision)
             )
-        self.feed.announce()
+        self.mirror.notify_changed()
         return True
 
 
--- a/src/kingcupscale/batches/retention.py
+++ b/src/kingcupscale/batches/retention.py
@@ -76,7 +76,7 @@
     async def _forget(self, batch_id: str) -> None:
         prefix = f"{records.RESULTS_PREFIX}{batch_id}/"
         keys = [entry.key for entry in await self.source.entries(prefix)]
-        heads = self.book.feed.under(records.key_of(batch_id, ""))
+        heads = self.book.mirror.entries_under(records.key_of(batch_id, ""))
         # The specification goes last, so that a half-removed batch is found
         # again by the next round.
         keys += sorted(
--- a/src/kingcupscale/batches/source.py
+++ b/src/kingcupscale/batches/source.py
@@ -9,7 +9,7 @@
 from kingcupscale import errors
 from kingcupscale.batches import record as records
 from kingcupscale.storage import detour
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 
 # Time for a node that is followed to tell that nothing is missing.
@@ -24,7 +24,7 @@
     """Gets batches, and brings them up to date.
 
     Args:
-        feed: The mirror of the store.
+        mirror: The mirror of the store.
         store: Where batches are written.
         clock: Tells the time.
         fetch_copy: Asks other nodes for a batch.
@@ -32,12 +32,12 @@
 
     def __init__(
         self,
-        feed: feeds.Feed,
+        mirror: mirrors.StoreMirror,
         store: detour.DetourStore,
         clock: clocks.Clock,
         fetch_copy: FetchCopy,
     ) -> None:
-        self.feed = feed
+        self.mirror = mirror
         self.store = store
         self.clock = clock
         self.fetch_copy = fetch_copy
@@ -64,7 +64,7 @@
             reason = e.reason
         if asks_nodes and await self._is_refreshed_by_followed_node():
             key = records.key_of(batch_id, records.SPECIFICATION, "0")
-            if key not in self.feed.entries:
+            if key not in self.mirror.entries:
                 return None
             copy = await self._fetch_current_copy(batch_id)
             if copy is not None:
@@ -78,9 +78,9 @@
     async def _fetch_current_copy(self, batch_id: str) -> records.Record | None:
         """Returns another node's state, if it is as new as the mirror."""
         key = records.key_of(batch_id, records.SPECIFICATION, "0")
-        if key not in self.feed.entries:
+        if key not in self.mirror.entries:
             return None
-        revision = self.feed.revision
+        revision = self.mirror.revision
         copy = await self.fetch_copy(batch_id)
         if copy is None or copy.revision < revision:
             return None
@@ -95,7 +95,7 @@
             if kind.endswith("/" + records.SPECIFICATION):
                 parts[number] = entry.value or b""
             is_ended = is_ended or number == records.END
-            self.feed.apply(entry)
+            self.mirror.apply(entry)
         record = records.assemble(parts)
         if record is None:
             return None
@@ -186,7 +186,7 @@
         """Waits a little for the mirror to become current by another node."""
         asked_at = self.clock.monotonic()
         with trio.move_on_after(REFRESH_S):
-            while self.feed.current_at < asked_at:
-                await self.feed.changed.wait()
+            while self.mirror.current_at < asked_at:
+                await self.mirror.changed.wait()
             return True
         return False
--- a/src/kingcupscale/candidates.py
+++ b/src/kingcupscale/candidates.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from kingcupscale import rendezvous
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 from kingcupscale.storage import tenure as tenures
 
@@ -14,26 +14,26 @@
     """The nodes that take part, ranked anew for each duty.
 
     Args:
-        feed: The mirror that tells of the nodes.
+        mirror: The mirror that tells of the nodes.
         node: This node's name.
     """
 
-    def __init__(self, feed: feeds.Feed, node: str) -> None:
-        self.feed = feed
+    def __init__(self, mirror: mirrors.StoreMirror, node: str) -> None:
+        self.mirror = mirror
         self.node = node
         self.rankings: dict[str, list[str]] = {}
         self.idle_rankings: dict[str, list[str]] = {}
         self.known: list[str] | None = None
         self.known_holders: dict[str, str] | None = None
-        feed.subscribe(tenures.NODES_PREFIX, self._take_node)
-        feed.subscribe(tenures.DUTIES_PREFIX, self._take_duty)
+        mirror.subscribe(tenures.NODES_PREFIX, self._take_node)
+        mirror.subscribe(tenures.DUTIES_PREFIX, self._take_duty)
 
     def names(self) -> list[str]:
         """Returns the nodes that take part, this one included."""
         if self.known is None:
             self.known = [
                 entry.key.removeprefix(tenures.NODES_PREFIX)
-                for entry in self.feed.under(tenures.NODES_PREFIX)
+                for entry in self.mirror.entries_under(tenures.NODES_PREFIX)
             ]
         return self.known
 
@@ -44,7 +44,7 @@
                 entry.key.removeprefix(tenures.DUTIES_PREFIX): (
                     (entry.value or b"").decode().partition(" ")[0]
                 )
-                for entry in self.feed.under(tenures.DUTIES_PREFIX)
+                for entry in self.mirror.entries_under(tenures.DUTIES_PREFIX)
             }
         return self.known_holders
 
--- a/src/kingcupscale/directives.py
+++ b/src/kingcupscale/directives.py
@@ -7,7 +7,7 @@
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import roster
 from kingcupscale.storage import entries
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 
 
@@ -17,7 +17,7 @@
     What makes no sense is logged and changes nothing; nothing goes back.
 
     Args:
-        feed: The mirror of the store.
+        mirror: The mirror of the store.
         servers: Takes over the servers' entries.
         keys: Where each of it is written.
         decoders: How it is read.
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        feed: feeds.Feed,
+        mirror: mirrors.StoreMirror,
         servers: roster.Roster,
         keys: surroundings.Keys,
         decoders: surroundings.Decoders,
@@ -39,9 +39,9 @@
         self.decoders = decoders
         self.catalogue: catalogue.Catalogue | None = None
         self.named_versions: dict[str, int] = {}
-        feed.subscribe(keys.configuration, self._take_configuration)
-        feed.subscribe(keys.servers, self._take_server)
-        feed.subscribe(keys.versions, self._take_version)
+        mirror.subscribe(keys.configuration, self._take_configuration)
+        mirror.subscribe(keys.servers, self._take_server)
+        mirror.subscribe(keys.versions, self._take_version)
 
     def _take_configuration(self, entry: stores.Entry) -> None:
         if entry.value is None:
--- a/src/kingcupscale/fleet/peers.py
+++ b/src/kingcupscale/fleet/peers.py
@@ -14,7 +14,7 @@
 from kingcupscale.peering import commits
 from kingcupscale.peering import relay
 from kingcupscale.storage import changelog
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 from kingcupscale.storage import tenure as tenures
 
@@ -43,7 +43,7 @@
 
     Attributes:
         answered_at: Monotonic time of the last answer of any node.
-        feed: The mirror that tells of the nodes; set once it exists.
+        mirror: The mirror that tells of the nodes; set once it exists.
         silent_since: Monotonic time of the first unanswered call, by node.
     """
 
@@ -63,17 +63,17 @@
         self.commits = commits_client
         self.clock = clock
         self.rng = rng
-        self.feed: feeds.Feed | None = None
+        self.mirror: mirrors.StoreMirror | None = None
         self.silent_since: dict[str, float] = {}
         self.not_before: dict[str, float] = {}
         self.failed_until: dict[str, float] = {}
 
     def addresses(self) -> dict[str, str]:
         """Returns the other nodes' addresses by name."""
-        if self.feed is None:
+        if self.mirror is None:
             return {}
         found = {}
-        for entry in self.feed.under(tenures.NODES_PREFIX):
+        for entry in self.mirror.entries_under(tenures.NODES_PREFIX):
             name = entry.key.removeprefix(tenures.NODES_PREFIX)
             address = orjson.loads(entry.value or b"{}").get("peers", "")
             if name != self.node and address:
@@ -87,8 +87,8 @@
     def holding(self, duty: str) -> str:
         """Returns the node that holds a duty and its lease; empty for none."""
         entry = (
-            self.feed.entries.get(tenures.DUTIES_PREFIX + duty)
-            if self.feed
+            self.mirror.entries.get(tenures.DUTIES_PREFIX + duty)
+            if self.mirror
             else None
         )
         return (entry.value or b"").decode() if entry else ""
@@ -246,7 +246,7 @@
             self.not_before[name] = self.clock.monotonic() + AVOID_S
             return None
         self.answered_at = self.clock.monotonic()
-        if changes.age_s > feeds.FOLLOWED_AGE_S:
+        if changes.age_s > mirrors.MAX_FOLLOWED_AGE_S:
             self.not_before[name] = self.answered_at + AVOID_S
         self.note_heard(name)
         return changes
--- a/src/kingcupscale/leading.py
+++ b/src/kingcupscale/leading.py
@@ -49,7 +49,7 @@
         self.runtime = runtime
         self.service = service
         self.tenure = tenures.Tenure(
-            service, runtime.session, runtime.feed, around.clock
+            service, runtime.session, runtime.mirror, around.clock
         )
         self.coordinator = coordinators.Coordinator(
             service,
@@ -172,7 +172,7 @@
         self.tenure = tenures.Tenure(
             model_duty(leader.service, model),
             runtime.session,
-            runtime.feed,
+            runtime.mirror,
             around.clock,
         )
         self.copier = copying.Copier(
@@ -268,7 +268,7 @@
 
         Nodes that start first find a small fleet and take all duties.
         """
-        if is_small_fleet(self.runtime) or self.runtime.feed.is_lost:
+        if is_small_fleet(self.runtime) or self.runtime.mirror.is_unreachable:
             return False
         found = self.runtime.candidates
         surplus = candidates.find_surplus(
--- a/src/kingcupscale/operating/exposition.py
+++ b/src/kingcupscale/operating/exposition.py
@@ -45,8 +45,8 @@
         return [
             f"ready {int(runtime.is_ready())}",
             f"configuration_version {configured.version if configured else 0}",
-            f"mirror_age_seconds {runtime.feed.age_s():.3f}",
-            f"mirror_revision {runtime.feed.revision}",
+            f"mirror_age_seconds {runtime.mirror.age_s():.3f}",
+            f"mirror_revision {runtime.mirror.revision}",
             f"duties_held {runtime.duties_held()}",
             f"servers_known {len(runtime.roster.servers)}",
             f"servers_usable {len(usable)}",
--- a/src/kingcupscale/peering/relay.py
+++ b/src/kingcupscale/peering/relay.py
@@ -18,7 +18,7 @@
 from kingcupscale.batches import record as records
 from kingcupscale.peering import calls
 from kingcupscale.storage import changelog
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 from kingcupscale.web import exchange
 from kingcupscale.web import message
@@ -216,12 +216,12 @@
     """Answers followers from this node's mirror.
 
     Args:
-        feed: The mirror.
+        mirror: The mirror.
         book: The batches.
     """
 
-    def __init__(self, feed: feeds.Feed, book: BatchesKnown) -> None:
-        self.feed = feed
+    def __init__(self, mirror: mirrors.StoreMirror, book: BatchesKnown) -> None:
+        self.mirror = mirror
         self.book = book
         self.encoded: dict[tuple[str, int], bytes] = {}
 
@@ -233,25 +233,25 @@
             return await self._copy(calls.decode(request.body, CopyQuestion))
         question = calls.decode(request.body, Question)
         position, interest = question.position(), question.interest()
-        if self.feed.current_at < 0:
+        if self.mirror.current_at < 0:
             return message.Response(STATUS_BEHIND)
-        asked_at = self.feed.clock.monotonic()
+        asked_at = self.mirror.clock.monotonic()
         with trio.move_on_after(WAIT_S):
             await self._wait_for_news(position, interest)
         # Read after the wait: a change may have come as it ended, and the
         # position that is told must not pass it.
-        found = self.feed.log.since(position)
+        found = self.mirror.log.since(position)
         if found is None or any(self._lacks(e, interest) for e in found):
             return message.Response(STATUS_BEHIND)
         return message.Response(
             200,
             {"content-type": "application/json"},
-            self._encode(found, interest, asked_at - self.feed.current_at),
+            self._encode(found, interest, asked_at - self.mirror.current_at),
         )
 
     async def _copy(self, question: CopyQuestion) -> message.Response:
         record = self.book.records.get(question.batch)
-        if record is None and not self.feed.is_following:
+        if record is None and not self.mirror.is_following:
             # The others ask here, so that one node reads it for all of them.
             record = await self.book.load(
                 question.batch, is_read=True, asks_nodes=False
@@ -261,7 +261,7 @@
         return message.Response(
             200,
             {"content-type": "application/json"},
-            calls.encode(record.copy(self.feed.revision)),
+            calls.encode(record.copy(self.mirror.revision)),
         )
 
     async def _wait_for_news(
@@ -270,14 +270,14 @@
         """Waits for a change that the follower wants, or that is lost."""
         looked = position
         while True:
-            found = self.feed.log.since(looked)
+            found = self.mirror.log.since(looked)
             if found is None or any(
                 self._is_wanted(e, interest) for e in found
             ):
                 return
-            log = self.feed.log
+            log = self.mirror.log
             looked = changelog.Position(log.id, log.number, looked.revision)
-            await self.feed.changed.wait()
+            await self.mirror.changed.wait()
 
     def _is_wanted(
         self, entry: stores.Entry, interest: interests.Interest
@@ -305,11 +305,11 @@
     ) -> bytes:
         return orjson.dumps(
             {
-                "log": self.feed.log.id,
-                "number": self.feed.log.number,
-                "revision": self.feed.revision,
+                "log": self.mirror.log.id,
+                "number": self.mirror.log.number,
+                "revision": self.mirror.revision,
                 "age_s": age_s,
-                "checksum": str(self.feed.checksum),
+                "checksum": str(self.mirror.checksum),
                 "entries": [self._encode_one(e, interest) for e in entries],
             }
         )
--- a/src/kingcupscale/readiness.py
+++ b/src/kingcupscale/readiness.py
@@ -7,7 +7,7 @@
 from kingcupscale import errors
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import peers
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import mirror as mirrors
 
 # Other nodes are likely to take what this one refuses.
 RETRY_AFTER_S = 0.5
@@ -20,7 +20,7 @@
     """Tells why a node takes nothing, if it does not.
 
     Args:
-        feed: The mirror of the store.
+        mirror: The mirror of the store.
         others: The other nodes.
         clock: Tells the time.
         bounds: Within which time a change is in force.
@@ -29,13 +29,13 @@
 
     def __init__(
         self,
-        feed: feeds.Feed,
+        mirror: mirrors.StoreMirror,
         others: peers.Peers,
         clock: clocks.Clock,
         bounds: deployment.Bounds,
         catalogue_now: Callable[[], catalogue.Catalogue | None],
     ) -> None:
-        self.feed = feed
+        self.mirror = mirror
         self.peers = others
         self.clock = clock
         self.bounds = bounds
@@ -57,7 +57,7 @@
         A newer one may allow what this one does not. What this one allows is
         served all the same: an outage of the store makes all nodes old.
         """
-        age_s = self.feed.head_age_s()
+        age_s = self.mirror.essential_age_s()
         if age_s <= VIEW_SHARE * self.bounds.apply_s:
             return None
         return errors.ServiceError(
@@ -73,7 +73,7 @@
         that hears from no other one can't know that.
         """
         in_force_s = self.bounds.apply_s + self.bounds.apply_stretch_s
-        if self.feed.head_age_s() <= in_force_s:
+        if self.mirror.essential_age_s() <= in_force_s:
             return False
         silent_s = self.clock.monotonic() - self.peers.answered_at
         is_alone = silent_s > self.bounds.contact_s
--- a/src/kingcupscale/retirements.py
+++ b/src/kingcupscale/retirements.py
@@ -4,7 +4,7 @@
 
 from kingcupscale import events
 from kingcupscale import surroundings
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 
 
@@ -15,18 +15,18 @@
     request is answered at once.
 
     Args:
-        feed: Where requests and answers are seen.
+        mirror: Where requests and answers are seen.
         keys: Where they are written.
         encode: Returns an answer by its word.
     """
 
     def __init__(
         self,
-        feed: feeds.Feed,
+        mirror: mirrors.StoreMirror,
         keys: surroundings.Keys,
         encode: Callable[[str], bytes],
     ) -> None:
-        self.feed = feed
+        self.mirror = mirror
         self.keys = keys
         self.done = encode("done")
 
@@ -36,13 +36,13 @@
         Raises:
             StoreError: If the store cannot be reached.
         """
-        for entry in self.feed.under(self.keys.retirements):
+        for entry in self.mirror.entries_under(self.keys.retirements):
             vm = entry.key.removeprefix(self.keys.retirements)
             key = self.keys.retirement_states + vm
-            known = self.feed.entries.get(key)
+            known = self.mirror.entries.get(key)
             if known is not None and known.revision > entry.revision:
                 continue
-            await self.feed.store.commit(
+            await self.mirror.store.commit(
                 stores.Transaction(puts=[stores.Put(key, self.done)])
             )
             events.log(events.Event.VM_EMPTIED, vm=vm)
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -31,7 +31,7 @@
 from kingcupscale.peering import relay
 from kingcupscale.storage import changelog
 from kingcupscale.storage import detour
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 from kingcupscale.storage import tenure as tenures
 from kingcupscale.storage import view as views
@@ -95,7 +95,7 @@
 
     def _make_storage(self) -> None:
         settings, around = self.settings, self.surroundings
-        self.feed = feeds.Feed(
+        self.mirror = mirrors.StoreMirror(
             around.store,
             self.clock,
             settings.node,
@@ -110,9 +110,9 @@
             around.rng,
             lambda: self.services,
         )
-        self.peers.feed = self.feed
+        self.peers.mirror = self.mirror
         self.view = views.View(
-            self.feed,
+            self.mirror,
             self.clock,
             settings.node,
             settings.bounds.cancel_s,
@@ -120,18 +120,18 @@
         )
         self.roster = roster.Roster(
             self.clock,
-            lambda: self.feed.regained_at,
-            lambda: self.feed.is_lost,
+            lambda: self.mirror.recovered_at,
+            lambda: self.mirror.is_unreachable,
         )
         self.book = books.Book(
-            self.feed,
+            self.mirror,
             detour.DetourStore(around.store, self.peers.commit),
             self.clock,
             settings.value_bytes,
             self._fetch_copy,
         )
         self.book.on_change = self._wake_coordinators
-        self.relay = relay.RelayHandler(self.feed, self.book)
+        self.relay = relay.RelayHandler(self.mirror, self.book)
         ttl_s = max(
             settings.least_lease_s, LEASE_SHARE * settings.bounds.lease_s
         )
@@ -145,13 +145,13 @@
             PRESENCE_LEASES * ttl_s,
             orjson.dumps({"peers": settings.peers}),
         )
-        self.candidates = candidates.Candidates(self.feed, settings.node)
-        self.feed.subscribe(tenures.NODES_PREFIX, self._take_node)
+        self.candidates = candidates.Candidates(self.mirror, settings.node)
+        self.mirror.subscribe(tenures.NODES_PREFIX, self._take_node)
         self.directives = directives.Directives(
-            self.feed, self.roster, around.keys, around.decoders
+            self.mirror, self.roster, around.keys, around.decoders
         )
         self.readiness = readiness.Readiness(
-            self.feed,
+            self.mirror,
             self.peers,
             self.clock,
             settings.bounds,
@@ -161,8 +161,8 @@
     def _make_serving(self) -> None:
         settings, around = self.settings, self.surroundings
         self.reporter = windows.WindowReporter(
-            tenures.Tenure(windows.DUTY, self.session, self.feed, self.clock),
-            self.feed,
+            tenures.Tenure(windows.DUTY, self.session, self.mirror, self.clock),
+            self.mirror,
             around.intake,
             self.clock,
             settings.bounds.window_s,
@@ -170,7 +170,7 @@
         )
         self.telling = telling.Telling(self.peers, self.reporter, around.counts)
         self.usage = windows.WindowCounter(
-            self.feed,
+            self.mirror,
             self.clock,
             settings.node,
             settings.bounds.window_s,
@@ -197,7 +197,7 @@
             self.readiness.find_refusal,
         )
         self.retirements = retirements.Retirements(
-            self.feed, around.keys, around.decoders.retirement_state
+            self.mirror, around.keys, around.decoders.retirement_state
         )
 
     async def answer_peer(self, request: message.Request) -> message.Response:
@@ -285,10 +285,10 @@
         self, position: changelog.Position
     ) -> changelog.Changes | None:
         """Follows a leader, or any node while the store does not answer."""
-        if self.leads() and not self.feed.is_lost:
+        if self.leads() and not self.mirror.is_unreachable:
             return None
         return await self.peers.follow(
-            position, self.book.interest, any_node=self.feed.is_lost
+            position, self.book.interest, any_node=self.mirror.is_unreachable
         )
 
     async def _fetch_copy(self, batch_id: str) -> records.RecordCopy | None:
@@ -319,7 +319,7 @@
         is_needed = self.book.readers or any(
             duty.coordinator.active for duty in self.services.values()
         )
-        if self.feed.is_following and is_needed:
+        if self.mirror.is_following and is_needed:
             return NEEDED_PAUSE_S
         return pace.idle_pause_s(
             len(self.candidates.names()), self.settings.bounds.apply_s
@@ -340,7 +340,7 @@
         """Runs until a planned stop has ended."""
         async with trio.open_nursery() as nursery:
             for task in (
-                self.feed.run,
+                self.mirror.run,
                 keeper.Keeper(self.book, self.clock).run,
                 self._keep_batches,
                 self.session.run,
--- a/src/kingcupscale/storage/feed.py
+++ b/src/kingcupscale/storage/mirror.py
@@ -15,14 +15,14 @@
 
 # A watch that hears nothing is ended by the store after this long, so that a
 # silent connection is noticed within a second or so.
-WATCH_WAIT_S = 0.5
-RETRY_LEAST_S = 0.1
-RETRY_MOST_S = 0.5
+WATCH_TIMEOUT_S = 0.5
+MIN_RETRY_S = 0.1
+MAX_RETRY_S = 0.5
 # A followed mirror that is older than this is no better than none.
-FOLLOWED_AGE_S = 1.1
+MAX_FOLLOWED_AGE_S = 1.1
 # A node that knows other things than the one that it follows for this long
 # has missed a change; own writes are known to both within a second.
-DIFFERS_S = 2.0
+MAX_DIFFERENCE_S = 2.0
 
 Listener = Callable[[stores.Entry], None]
 # Returns another node's changes past a position; None if there is no node to
@@ -30,7 +30,7 @@
 Follow = Callable[[changelog.Position], Awaitable[changelog.Changes | None]]
 
 
-class Feed:
+class StoreMirror:
     """Every key of the store, and when it was last known to be current.
 
     One watch serves all parts of a node, and changes are taken in bunches, so
@@ -48,11 +48,11 @@
         revision: The store's revision up to which nothing is missing.
         current_at: Monotonic time at which the last good answer was asked for;
             negative before the first.
-        head_at: Monotonic time at which all keys but the deferred ones were
-            asked for; negative before the first answer.
-        regained_at: Monotonic time at which the store last came back.
+        essential_at: Monotonic time at which all keys but the deferred
+            ones were asked for; negative before the first answer.
+        recovered_at: Monotonic time at which the store last came back.
         is_following: Whether another node's mirror is followed.
-        is_lost: Whether neither the store nor another node answers.
+        is_unreachable: Whether neither the store nor another node answers.
         checksum: Of all keys and their revisions, but those left out; equal
             on nodes that know the same.
         is_loading: Whether everything is being read anew.
@@ -80,19 +80,19 @@
         self.listeners: list[tuple[str, Listener]] = []
         self.revision = 0
         self.current_at = -1.0
-        self.regained_at = 0.0
-        self.is_lost = False
+        self.recovered_at = 0.0
+        self.is_unreachable = False
         self.is_following = False
         self.is_loading = False
         self.on_reloaded: Callable[[], None] = _ignore
-        self.left_out = ""
-        self.deferred = ""
-        self.head_at = -1.0
+        self.excluded_prefix = ""
+        self.deferred_prefix = ""
+        self.essential_at = -1.0
         self.checksum = 0
         self.differs_since: float | None = None
         self.follow_scope = trio.CancelScope()
         self.changed = trio.Event()
-        self.hurried = trio.Event()
+        self.pause_skipped = trio.Event()
         self.log = changelog.ChangeLog()
         self.position = changelog.Position("", 0, 0)
 
@@ -100,25 +100,25 @@
         """Calls a listener with every change under a prefix."""
         self.listeners.append((prefix, listener))
 
-    def leave_out(self, prefix: str) -> None:
+    def exclude_prefix(self, prefix: str) -> None:
         """Has the keys under a prefix left out when everything is read.
 
         Changes under it are heard of; its listener reads the rest by need.
         """
-        self.left_out = prefix
+        self.excluded_prefix = prefix
 
-    def defer(self, prefix: str) -> None:
+    def defer_prefix(self, prefix: str) -> None:
         """Has the keys under a prefix read last when everything is read.
 
         What is large and not needed at once would hold up all else when many
         nodes start together.
         """
-        self.deferred = prefix
+        self.deferred_prefix = prefix
 
-    def ask_anew(self) -> None:
+    def restart_follow(self) -> None:
         """Drops a question to another node and asks it anew."""
         self.follow_scope.cancel()
-        self.hurry()
+        self.skip_pause()
 
     def age_s(self) -> float:
         """Returns seconds since the mirror was known to be current."""
@@ -126,14 +126,14 @@
             return float("inf")
         return self.clock.monotonic() - self.current_at
 
-    def head_age_s(self) -> float:
+    def essential_age_s(self) -> float:
         """Returns seconds since all but the deferred keys were current."""
-        newest = max(self.current_at, self.head_at)
+        newest = max(self.current_at, self.essential_at)
         if newest < 0:
             return float("inf")
         return self.clock.monotonic() - newest
 
-    def under(self, prefix: str) -> list[stores.Entry]:
+    def entries_under(self, prefix: str) -> list[stores.Entry]:
         """Returns the present entries under a prefix, in key order."""
         found = []
         for key in self.entries.irange(prefix):
@@ -142,9 +142,9 @@
             found.append(self.entries[key])
         return found
 
-    def hurry(self) -> None:
+    def skip_pause(self) -> None:
         """Has the next changes read without a pause."""
-        self.hurried.set()
+        self.pause_skipped.set()
 
     def apply(self, entry: stores.Entry) -> None:
         """Takes over one entry, unless a newer state of it is known."""
@@ -157,27 +157,27 @@
             del self.entries[entry.key]
         else:
             self.entries[entry.key] = entry
-        if not self._is_left_out(entry.key):
-            self.checksum ^= _mark(known) ^ _mark(entry)
+        if not self._is_excluded(entry.key):
+            self.checksum ^= _checksum_of(known) ^ _checksum_of(entry)
         self.log.add(entry)
         for prefix, listener in self.listeners:
             if entry.key.startswith(prefix):
                 listener(entry)
 
-    def drop_value(self, key: str) -> None:
+    def discard_value(self, key: str) -> None:
         """Lets go of a value that its listener has taken over."""
         entry = self.entries.get(key)
         if entry is not None:
             self.entries[key] = attrs.evolve(entry, value=b"")
 
-    def announce(self) -> None:
+    def notify_changed(self) -> None:
         """Wakes those who wait for changes."""
         changed, self.changed = self.changed, trio.Event()
         changed.set()
 
     async def run(self) -> None:
         """Keeps the mirror current until cancelled."""
-        retry_s = RETRY_LEAST_S
+        retry_s = MIN_RETRY_S
         is_loaded = False
         while True:
             try:
@@ -185,20 +185,20 @@
                     await self._load()
                     is_loaded = True
                     self.on_reloaded()
-                if not await self._follow_node():
+                if not await self._follow_peer():
                     self.is_following = False
                     await self._watch_store()
                 await self._pause()
-                retry_s = RETRY_LEAST_S
+                retry_s = MIN_RETRY_S
             except stores.HistoryLostError:
                 events.log(
                     events.Event.STORE_HISTORY_LOST, revision=self.revision
                 )
                 is_loaded = False
             except stores.StoreError as e:
-                self._note_lost(e)
+                self._note_unreachable(e)
                 await self.clock.sleep(retry_s)
-                retry_s = min(RETRY_MOST_S, 2 * retry_s)
+                retry_s = min(MAX_RETRY_S, 2 * retry_s)
 
     async def _load(self) -> None:
         """Reads everything; what is not found any more is removed."""
@@ -211,7 +211,7 @@
         # Pages are no snapshot: what changed between them is watched again.
         for key in [key for key in self.entries if key not in found]:
             is_older = self.entries[key].revision <= first
-            if is_older and not self._is_left_out(key):
+            if is_older and not self._is_excluded(key):
                 self.apply(stores.Entry(key, None, first))
         self.revision = first
         # Changes between the pages are known already, so the watch that shows
@@ -225,9 +225,9 @@
         asked_at = self.clock.monotonic()
         found: set[str] = set()
         first = await self._scan("", found)
-        self.head_at = asked_at
-        if self.deferred:
-            await self._scan(self.deferred, found)
+        self.essential_at = asked_at
+        if self.deferred_prefix:
+            await self._scan(self.deferred_prefix, found)
         return first, found
 
     async def _scan(self, prefix: str, found: set[str]) -> int:
@@ -243,26 +243,28 @@
             first = first or page.revision
             has_more = page.has_more
             for entry in page.entries:
-                passed = self._passed_over(entry.key, prefix)
+                passed = self._skipped_prefix(entry.key, prefix)
                 if passed:
-                    after, has_more = _past(passed), True
+                    after, has_more = _key_after_prefix(passed), True
                     break
                 after = entry.key
                 found.add(entry.key)
                 self.apply(entry)
         return first
 
-    def _passed_over(self, key: str, prefix: str) -> str:
+    def _skipped_prefix(self, key: str, prefix: str) -> str:
         """Returns the prefix that a scan leaves out a key by, if any."""
-        for skipped in (self.left_out, self.deferred):
+        for skipped in (self.excluded_prefix, self.deferred_prefix):
             if skipped and skipped != prefix and key.startswith(skipped):
                 return skipped
         return ""
 
-    def _is_left_out(self, key: str) -> bool:
-        return bool(self.left_out) and key.startswith(self.left_out)
+    def _is_excluded(self, key: str) -> bool:
+        return bool(self.excluded_prefix) and key.startswith(
+            self.excluded_prefix
+        )
 
-    async def _follow_node(self) -> bool:
+    async def _follow_peer(self) -> bool:
         """Takes over another node's changes; False if there is none."""
         asked_at = self.clock.monotonic()
         position = changelog.Position(
@@ -273,9 +275,9 @@
             changes = await self.follow(position)
         if self.follow_scope.cancelled_caught:
             return True
-        if changes is not None and self.is_lost:
+        if changes is not None and self.is_unreachable:
             self._catch_up(changes, asked_at - changes.age_s)
-        if changes is None or changes.age_s > FOLLOWED_AGE_S:
+        if changes is None or changes.age_s > MAX_FOLLOWED_AGE_S:
             self.position = changelog.Position("", 0, 0)
             return False
         self.is_following = True
@@ -284,7 +286,7 @@
         self.position = changes.position
         self.revision = max(self.revision, changes.position.revision)
         self._note_current(max(self.current_at, asked_at - changes.age_s))
-        if self.has_missed(changes.checksum):
+        if self.has_missed_changes(changes.checksum):
             await self._load_again()
         return True
 
@@ -297,7 +299,7 @@
             self.apply(entry)
         self.revision = max(self.revision, changes.position.revision)
         self.current_at = max(self.current_at, current_at)
-        self.announce()
+        self.notify_changed()
 
     async def _load_again(self) -> None:
         """Reads everything if the store answers; goes on following if not."""
@@ -309,7 +311,7 @@
                 events.Event.STORE_FAILED, node=self.node, reason=e.reason
             )
 
-    def has_missed(self, checksum: int) -> bool:
+    def has_missed_changes(self, checksum: int) -> bool:
         """Tells whether the followed node has known other things for long.
 
         Both may know of own writes before the other does, so a difference
@@ -323,7 +325,7 @@
             self.differs_since = None
         elif self.differs_since is None:
             self.differs_since = now
-        elif now - self.differs_since > DIFFERS_S:
+        elif now - self.differs_since > MAX_DIFFERENCE_S:
             self.differs_since = None
             events.log(
                 events.Event.MIRROR_DIFFERED,
@@ -336,43 +338,43 @@
 
     async def _watch_store(self) -> None:
         asked_at = self.clock.monotonic()
-        page = await self.store.watch("", self.revision, WATCH_WAIT_S)
+        page = await self.store.watch("", self.revision, WATCH_TIMEOUT_S)
         for entry in page.entries:
             self.apply(entry)
         self.revision = max(self.revision, page.revision)
         # An empty answer that was kept back for the whole of the wait tells
         # that nothing came until then.
         waited_s = self.clock.monotonic() - asked_at
-        is_quiet = not page.entries and waited_s >= WATCH_WAIT_S
-        self._note_current(asked_at + (WATCH_WAIT_S if is_quiet else 0.0))
+        is_quiet = not page.entries and waited_s >= WATCH_TIMEOUT_S
+        self._note_current(asked_at + (WATCH_TIMEOUT_S if is_quiet else 0.0))
 
     def _note_current(self, asked_at: float) -> None:
         self.current_at = asked_at
-        if self.is_lost:
-            self.is_lost = False
-            self.regained_at = self.clock.monotonic()
+        if self.is_unreachable:
+            self.is_unreachable = False
+            self.recovered_at = self.clock.monotonic()
             events.log(events.Event.STORE_REGAINED, node=self.node)
-        self.announce()
+        self.notify_changed()
 
-    def _note_lost(self, error: stores.StoreError) -> None:
-        if not self.is_lost:
-            self.is_lost = True
+    def _note_unreachable(self, error: stores.StoreError) -> None:
+        if not self.is_unreachable:
+            self.is_unreachable = True
             events.log(
                 events.Event.STORE_FAILED, node=self.node, reason=error.reason
             )
 
     async def _pause(self) -> None:
         with trio.move_on_after(self.pause_s()):
-            await self.hurried.wait()
-        self.hurried = trio.Event()
+            await self.pause_skipped.wait()
+        self.pause_skipped = trio.Event()
 
 
-def _past(prefix: str) -> str:
+def _key_after_prefix(prefix: str) -> str:
     """Returns the least key behind all keys under a prefix."""
     return prefix[:-1] + chr(ord(prefix[-1]) + 1)
 
 
-def _mark(entry: stores.Entry | None) -> int:
+def _checksum_of(entry: stores.Entry | None) -> int:
     """Returns what an entry adds to the checksum."""
     if entry is None or entry.value is None:
         return 0
--- a/src/kingcupscale/storage/tenure.py
+++ b/src/kingcupscale/storage/tenure.py
@@ -8,7 +8,7 @@
 
 from kingcupscale import clock as clocks
 from kingcupscale import events
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 
 NODES_PREFIX = "kingcupscale/nodes/"
@@ -231,7 +231,7 @@
     Args:
         name: Of the duty.
         session: The node's lease.
-        feed: The mirror in which the key's state is seen.
+        mirror: The mirror in which the key's state is seen.
         clock: Tells the time.
     """
 
@@ -239,12 +239,12 @@
         self,
         name: str,
         session: Session,
-        feed: feeds.Feed,
+        mirror: mirrors.StoreMirror,
         clock: clocks.Clock,
     ) -> None:
         self.name = name
         self.session = session
-        self.feed = feed
+        self.mirror = mirror
         self.clock = clock
         self.fence = 0
         self.given_up = 0
@@ -289,7 +289,7 @@
             return
         if self.fence and self.lease != self.session.lease:
             self._lose()
-        known = self.feed.entries.get(self.key)
+        known = self.mirror.entries.get(self.key)
         if known is not None and known.created == self.given_up:
             await self._remove(known)
             return
@@ -315,7 +315,7 @@
             return
         self.given_up = self.fence
         self._lose()
-        known = self.feed.entries.get(self.key)
+        known = self.mirror.entries.get(self.key)
         if known is not None and known.created == self.given_up:
             await self._remove(known)
 
@@ -326,7 +326,7 @@
             stores.Transaction([condition], removals=[self.key])
         )
         if revision is not None:
-            self.feed.apply(stores.Entry(self.key, None, revision))
+            self.mirror.apply(stores.Entry(self.key, None, revision))
 
     def _own_value(self) -> bytes:
         return f"{self.session.node} {self.session.lease}".encode()
@@ -357,7 +357,7 @@
         # writer's key: what stands there decides.
         entry = await self.session.store.get(self.key)
         if entry is not None:
-            self.feed.apply(entry)
+            self.mirror.apply(entry)
         return entry
 
     def _gain(self, fence: int) -> None:
@@ -420,9 +420,9 @@
     Whoever takes another duty meanwhile is ranked anew.
     """
     began_at = tenure.clock.monotonic()
-    while tenure.key not in tenure.feed.entries:
+    while tenure.key not in tenure.mirror.entries:
         left_s = began_at + TURN_S * rank() - tenure.clock.monotonic()
         if left_s <= 0:
             return
         with trio.move_on_after(left_s):
-            await tenure.feed.changed.wait()
+            await tenure.mirror.changed.wait()
--- a/src/kingcupscale/storage/view.py
+++ b/src/kingcupscale/storage/view.py
@@ -17,11 +17,11 @@
     Attributes:
         current_at: Monotonic time at which the last good answer was asked for;
             negative before the first.
-        is_lost: Whether neither the store nor another node answers.
+        is_unreachable: Whether neither the store nor another node answers.
     """
 
     current_at: float
-    is_lost: bool
+    is_unreachable: bool
 
     def age_s(self) -> float:
         """Returns seconds since the mirror was known to be current."""
@@ -77,7 +77,7 @@
 
     def _is_store_silent(self) -> bool:
         """Tells whether another node has just known nothing newer either."""
-        if not self.mirror.is_lost:
+        if not self.mirror.is_unreachable:
             return False
         heard_at = self.heard_at()
         if heard_at is None:
@@ -91,5 +91,5 @@
             events.Event.VIEW_CURRENT if is_current else events.Event.VIEW_OLD,
             node=self.node,
             age_s=round(self.mirror.age_s(), 3),
-            lost=self.mirror.is_lost,
+            lost=self.mirror.is_unreachable,
         )
--- a/src/kingcupscale/usage/windows.py
+++ b/src/kingcupscale/usage/windows.py
@@ -8,7 +8,7 @@
 from kingcupscale import clock as clocks
 from kingcupscale import events
 from kingcupscale.storage import entries
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 from kingcupscale.storage import tenure as tenures
 
@@ -78,7 +78,7 @@
     changes; without one, and at a stop, they go into the store.
 
     Args:
-        feed: Where the counts are shared.
+        mirror: Where the counts are shared.
         clock: Tells the time.
         node: The node's name.
         window_s: Length of a window in seconds.
@@ -92,13 +92,13 @@
 
     def __init__(
         self,
-        feed: feeds.Feed,
+        mirror: mirrors.StoreMirror,
         clock: clocks.Clock,
         node: str,
         window_s: float,
         teller: Teller,
     ) -> None:
-        self.feed = feed
+        self.mirror = mirror
         self.clock = clock
         self.node = node
         self.window_s = window_s
@@ -158,7 +158,7 @@
         for window, counts in due.items():
             key = f"{COUNTS_PREFIX}{window}/{self.node}"
             put = stores.Put(key, orjson.dumps(counts))
-            await self.feed.store.commit(stores.Transaction(puts=[put]))
+            await self.mirror.store.commit(stores.Transaction(puts=[put]))
             self.shared[window] = counts
             self.shared_with[window] = IN_STORE
 
@@ -171,7 +171,7 @@
 
     Args:
         tenure: The duty.
-        feed: Where counts and figures are shared.
+        mirror: Where counts and figures are shared.
         intake: Takes the reports.
         clock: Tells the time.
         window_s: Length of a window in seconds.
@@ -181,14 +181,14 @@
     def __init__(
         self,
         tenure: tenures.Tenure,
-        feed: feeds.Feed,
+        mirror: mirrors.StoreMirror,
         intake: Intake,
         clock: clocks.Clock,
         window_s: float,
         late_s: float,
     ) -> None:
         self.tenure = tenure
-        self.feed = feed
+        self.mirror = mirror
         self.intake = intake
         self.clock = clock
         self.window_s = window_s
@@ -237,7 +237,7 @@
         windows = [
             int(entry.key.removeprefix(prefix).partition("/")[0])
             for prefix in (COUNTS_PREFIX, FIGURES_PREFIX)
-            for entry in self.feed.under(prefix)
+            for entry in self.mirror.entries_under(prefix)
         ]
         return min([*windows, *self.received, due + 1])
 
@@ -269,7 +269,7 @@
     async def _settle_figures(self, window: int) -> dict[str, int] | None:
         """Returns a window's figures, fixed in the store before they go."""
         key = f"{FIGURES_PREFIX}{window}"
-        entry = self.feed.entries.get(key)
+        entry = self.mirror.entries.get(key)
         if entry is None:
             figures = self._add_up(window)
             put = stores.Put(
@@ -277,13 +277,13 @@
             )
             condition = stores.Condition(key, stores.ABSENT)
             old = f"{FIGURES_PREFIX}{window - 3 * WINDOWS_KEPT}"
-            removals = [old] if old in self.feed.entries else []
-            revision = await self.feed.store.commit(
+            removals = [old] if old in self.mirror.entries else []
+            revision = await self.mirror.store.commit(
                 stores.Transaction([condition], [put], removals)
             )
             if revision is not None:
                 return figures
-            entry = await self.feed.store.get(key)
+            entry = await self.mirror.store.get(key)
         if entry is None or entry.value is None:
             return None
         return orjson.loads(entry.value)
@@ -292,7 +292,7 @@
         """Returns the sum over all nodes, told or written."""
         prefix = f"{COUNTS_PREFIX}{window}/"
         by_node = dict(self.received.get(window, {}))
-        for entry in self.feed.under(prefix):
+        for entry in self.mirror.entries_under(prefix):
             counts = entries.read(entry, _decode_counts) or {}
             node = entry.key.removeprefix(prefix)
             # Both are the node's whole count; the larger one is the later.
--- a/tests/batches/fleets.py
+++ b/tests/batches/fleets.py
@@ -13,7 +13,7 @@
 from kingcupscale.peering import calls
 from kingcupscale.peering import relay
 from kingcupscale.storage import detour
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 from tests.storage import test_relay
 
@@ -116,23 +116,23 @@
         self.fleet = fleet
         self.is_leader = is_leader
         clock = self.clock = virtualtime.VirtualClock()
-        self.feed = feeds.Feed(
+        self.mirror = mirrors.StoreMirror(
             fleet.store, clock, name, self._pause_s, self._follow
         )
         self.book = books.Book(
-            self.feed,
+            self.mirror,
             detour.DetourStore(fleet.store, self._commit_elsewhere),
             clock,
             1 << 16,
             self._fetch_copy,
         )
-        self.handler = relay.RelayHandler(self.feed, self.book)
+        self.handler = relay.RelayHandler(self.mirror, self.book)
         self.scope = trio.CancelScope()
 
     async def run(self):
         with self.scope:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self.feed.run)
+                nursery.start_soon(self.mirror.run)
                 nursery.start_soon(keeper.Keeper(self.book, self.clock).run)
 
     def _pause_s(self):
@@ -199,7 +199,7 @@
     def _restart(self, nursery, place):
         old = self.nodes[place]
         old.scope.cancel()
-        new = self.nodes[place] = Node(self, old.feed.node, old.is_leader)
+        new = self.nodes[place] = Node(self, old.mirror.node, old.is_leader)
         self.set_interest(new)
         nursery.start_soon(new.run)
 
@@ -264,7 +264,7 @@
     async def add(self, is_leader):
         """Returns a further node that has read the store's keys."""
         node = Node(self.fleet, "late", is_leader)
-        self.nursery.start_soon(node.feed.run)
+        self.nursery.start_soon(node.mirror.run)
         await trio.sleep(1)
         return node
 
--- a/tests/batches/test_book.py
+++ b/tests/batches/test_book.py
@@ -78,7 +78,7 @@
     async def test_copy_older_than_the_mirror_is_not_taken(self):
         async with fleets.opened_pair() as pair:
             record = pair.leader.book.records["b"]
-            old = record.copy(pair.follower.feed.revision)
+            old = record.copy(pair.follower.mirror.revision)
             await pair.list_one()
             await trio.sleep(1)
 
@@ -294,7 +294,7 @@
             for number in range(60):
                 await pair.follower.book.load(f"none-{number}", is_read=True)
                 await trio.sleep(0.1)
-                self.assertLess(pair.follower.feed.age_s(), 2.5)
+                self.assertLess(pair.follower.mirror.age_s(), 2.5)
 
 
 class RecordTest(unittest.TestCase):
--- a/tests/platform/test_configurations.py
+++ b/tests/platform/test_configurations.py
@@ -69,7 +69,7 @@
             oldest = 0.0
             for _ in range(200):
                 await trio.sleep(0.1)
-                ages = [n.runtime.feed.age_s() for n in site.nodes]
+                ages = [n.runtime.mirror.age_s() for n in site.nodes]
                 oldest = max(oldest, *ages)
             self.assertLess(oldest, 2.0)
 
@@ -89,7 +89,7 @@
             oldest = 0.0
             for _ in range(200):
                 await trio.sleep(0.05)
-                ages = [n.runtime.feed.head_age_s() for n in site.nodes]
+                ages = [n.runtime.mirror.essential_age_s() for n in site.nodes]
                 oldest = max(oldest, *ages)
             self.assertLess(oldest, deployment.Bounds().contact_s)
 
@@ -200,7 +200,7 @@
 
     def _delay(self, node, late_s):
         runtime = node.runtime
-        runtime.feed.store = Late(runtime.feed.store, late_s)
+        runtime.mirror.store = Late(runtime.mirror.store, late_s)
         runtime.peers.client = Late(runtime.peers.client, late_s)
 
     @parameterized.parameterized.expand(
--- a/tests/platform/test_ended.py
+++ b/tests/platform/test_ended.py
@@ -33,13 +33,13 @@
         await trio.sleep(0.8)
         raise stores.StoreError("no whole answer in time", True)
 
-    node.runtime.feed.store.watch = lose
-    node.runtime.feed.store.scan = scan_too_late
+    node.runtime.mirror.store.watch = lose
+    node.runtime.mirror.store.scan = scan_too_late
 
 
 def _watch_late(site, node):
     """Has a node hear from the store with a delay of 1.6 s."""
-    store = node.runtime.feed.store
+    store = node.runtime.mirror.store
     watch = store.watch
 
     async def watch_late(prefix, after, wait_s):
@@ -56,8 +56,8 @@
     async def refuse(*_):
         raise stores.StoreError("status 503", False)
 
-    node.runtime.feed.store.watch = refuse
-    node.runtime.feed.store.scan = refuse
+    node.runtime.mirror.store.watch = refuse
+    node.runtime.mirror.store.scan = refuse
 
 
 async def _never(*_):
@@ -232,9 +232,9 @@
             await site.submit(other, items=4)
             status, _ = await site.read(node)
             self.assertEqual(status, 200)
-            feed = node.runtime.feed
-            feed.follow = feed.store.watch = _never
-            feed.ask_anew()
+            mirror = node.runtime.mirror
+            mirror.follow = mirror.store.watch = _never
+            mirror.restart_follow()
             results = await site.read_all(other)
             self.assertEqual(len(results), 4)
             status, _ = await _end(site, node)
@@ -249,9 +249,9 @@
     async def test_old_view_sends_no_calls_to_draining_servers(self):
         async with standin.opened(nodes=3) as site:
             (node, *_) = site.nodes
-            feed = node.runtime.feed
-            feed.follow = feed.store.watch = _never
-            feed.ask_anew()
+            mirror = node.runtime.mirror
+            mirror.follow = mirror.store.watch = _never
+            mirror.restart_follow()
             await trio.sleep(0.6)
             for name in ("p1", "p2"):
                 site.servers[name].state = "draining"
--- a/tests/platform/test_endless.py
+++ b/tests/platform/test_endless.py
@@ -51,7 +51,7 @@
     """A mirror that is never old."""
 
     current_at = 0.0
-    is_lost = False
+    is_unreachable = False
 
     def age_s(self):
         return 0.0
--- a/tests/platform/test_permission.py
+++ b/tests/platform/test_permission.py
@@ -12,7 +12,7 @@
 from kingcupscale.fleet import serverclient
 from kingcupscale.platform import cloud
 from kingcupscale.platform import servers
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import tenure as tenures
 from kingcupscale.usage import windows
 from kingcupscale.web import message
@@ -45,8 +45,8 @@
     session = tenures.Session(None, clock, "n1", TTL_S)
     session.lease = 7
     session.ends_at = clock.monotonic() + TTL_S
-    feed = feeds.Feed(None, clock, "n1", lambda: 0.0, None)
-    tenure = tenures.Tenure("duty", session, feed, clock)
+    mirror = mirrors.StoreMirror(None, clock, "n1", lambda: 0.0, None)
+    tenure = tenures.Tenure("duty", session, mirror, clock)
     tenure.fence, tenure.lease = 3, 7
     return tenure
 
--- a/tests/storage/test_giveup.py
+++ b/tests/storage/test_giveup.py
@@ -7,7 +7,7 @@
 import trio
 
 from kingcupscale.fakes import virtualtime
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 from kingcupscale.storage import tenure as tenures
 from tests import virtual
@@ -65,9 +65,9 @@
 
 def make_tenure(store, node):
     clock = virtualtime.VirtualClock()
-    feed = feeds.Feed(store, clock, node, lambda: 0.0, follow_nobody)
+    mirror = mirrors.StoreMirror(store, clock, node, lambda: 0.0, follow_nobody)
     session = tenures.Session(store, clock, node, 2.0)
-    return tenures.Tenure(DUTY, session, feed, clock)
+    return tenures.Tenure(DUTY, session, mirror, clock)
 
 
 class GiveUpTest(unittest.TestCase):
@@ -98,7 +98,7 @@
         await two.attempt()
         self.assertGreater(two.fence, fence)
         # The removed key once more, by an old answer of another node.
-        one.feed.apply(mirrored)
+        one.mirror.apply(mirrored)
         for _ in range(3):
             await one.attempt()
             self.assertFalse(one.is_held())
--- a/tests/storage/test_feed.py
+++ b/tests/storage/test_mirror.py
@@ -10,7 +10,7 @@
 
 from kingcupscale.fakes import virtualtime
 from kingcupscale.storage import changelog
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 from tests import virtual
 
@@ -23,11 +23,11 @@
     return None
 
 
-def make_feed():
-    return feeds.Feed(None, None, "n1", lambda: 0.0, follow_nobody)
+def make_mirror():
+    return mirrors.StoreMirror(None, None, "n1", lambda: 0.0, follow_nobody)
 
 
-class FeedTest(unittest.TestCase):
+class StoreMirrorTest(unittest.TestCase):
     @parameterized.parameterized.expand(
         [
             ("older_put", [entry("a", 5), entry("a", 3)], {"a": 5}),
@@ -38,21 +38,23 @@
         ]
     )
     def test_newest_state_of_a_key_holds(self, _, changes, expected):
-        feed = make_feed()
+        mirror = make_mirror()
         heard = []
-        feed.subscribe("", heard.append)
+        mirror.subscribe("", heard.append)
         for change in changes:
-            feed.apply(change)
-        found = {key: e.revision for key, e in feed.entries.items()}
+            mirror.apply(change)
+        found = {key: e.revision for key, e in mirror.entries.items()}
         self.assertEqual(found, expected)
         revisions = [e.revision for e in heard]
         self.assertEqual(revisions, sorted(set(revisions)))
 
     def test_prefix_takes_only_its_keys(self):
-        feed = make_feed()
+        mirror = make_mirror()
         for number, key in enumerate(("a/1", "a/2", "ab", "b/1"), 1):
-            feed.apply(entry(key, number))
-        self.assertEqual([e.key for e in feed.under("a/")], ["a/1", "a/2"])
+            mirror.apply(entry(key, number))
+        self.assertEqual(
+            [e.key for e in mirror.entries_under("a/")], ["a/1", "a/2"]
+        )
 
 
 class ChangingStore:
@@ -74,7 +76,7 @@
 class LoadTest(unittest.TestCase):
     @virtual.on_virtual_time
     async def test_follower_hears_of_what_changed_between_pages(self):
-        feed = feeds.Feed(
+        mirror = mirrors.StoreMirror(
             ChangingStore(),
             virtualtime.VirtualClock(),
             "n1",
@@ -82,11 +84,11 @@
             follow_nobody,
         )
         with trio.move_on_after(1):
-            await feed.run()
-        found = feed.log.since(changelog.Position("another", 7, 10))
+            await mirror.run()
+        found = mirror.log.since(changelog.Position("another", 7, 10))
         is_told = found is None or [e.key for e in found] == ["b"]
         self.assertTrue(is_told, found)
-        self.assertEqual(feed.log.since(changelog.Position("", 0, 12)), [])
+        self.assertEqual(mirror.log.since(changelog.Position("", 0, 12)), [])
 
 
 class ChangeLogTest(unittest.TestCase):
@@ -132,32 +134,32 @@
 class CompareTest(unittest.TestCase):
     @virtual.on_virtual_time
     async def test_change_that_was_missed_is_read_before_long(self):
-        feed = make_feed()
-        feed.clock = virtualtime.VirtualClock()
-        leader = make_feed()
+        mirror = make_mirror()
+        mirror.clock = virtualtime.VirtualClock()
+        leader = make_mirror()
         for key, revision in (("a", 1), ("b", 2), ("a", 3)):
             leader.apply(entry(key, revision))
             if key != "b":
-                feed.apply(entry(key, revision))
-        self.assertFalse(feed.has_missed(leader.checksum))
-        await trio.sleep(feeds.DIFFERS_S + 0.1)
-        self.assertTrue(feed.has_missed(leader.checksum))
+                mirror.apply(entry(key, revision))
+        self.assertFalse(mirror.has_missed_changes(leader.checksum))
+        await trio.sleep(mirrors.MAX_DIFFERENCE_S + 0.1)
+        self.assertTrue(mirror.has_missed_changes(leader.checksum))
 
     @virtual.on_virtual_time
     async def test_difference_that_passes_is_none(self):
-        feed = make_feed()
-        feed.clock = virtualtime.VirtualClock()
-        leader = make_feed()
+        mirror = make_mirror()
+        mirror.clock = virtualtime.VirtualClock()
+        leader = make_mirror()
         leader.apply(entry("a", 1))
-        self.assertFalse(feed.has_missed(leader.checksum))
-        feed.apply(entry("a", 1))
+        self.assertFalse(mirror.has_missed_changes(leader.checksum))
+        mirror.apply(entry("a", 1))
         await trio.sleep(1)
-        self.assertFalse(feed.has_missed(leader.checksum))
+        self.assertFalse(mirror.has_missed_changes(leader.checksum))
         leader.apply(entry("a", 2, None))
-        feed.apply(entry("a", 2, None))
-        self.assertEqual((feed.checksum, leader.checksum), (0, 0))
-        await trio.sleep(feeds.DIFFERS_S + 0.1)
-        self.assertFalse(feed.has_missed(leader.checksum))
+        mirror.apply(entry("a", 2, None))
+        self.assertEqual((mirror.checksum, leader.checksum), (0, 0))
+        await trio.sleep(mirrors.MAX_DIFFERENCE_S + 0.1)
+        self.assertFalse(mirror.has_missed_changes(leader.checksum))
 
     @virtual.on_virtual_time
     async def test_node_that_differs_follows_on_while_the_store_is_away(self):
@@ -170,12 +172,12 @@
             at = changelog.Position("log", 1, 1)
             return changelog.Changes([], at, 0.0, 12345)
 
-        feed = feeds.Feed(
+        mirror = mirrors.StoreMirror(
             Away(), virtualtime.VirtualClock(), "n1", lambda: 0.0, follow
         )
         for _ in range(40):
-            await feed._follow_node()
-            self.assertLess(feed.age_s(), 1.0)
+            await mirror._follow_peer()
+            self.assertLess(mirror.age_s(), 1.0)
 
 
 class QuietTest(unittest.TestCase):
@@ -188,6 +190,8 @@
                 return stores.Page([], after, False)
 
         clock = virtualtime.VirtualClock()
-        feed = feeds.Feed(Quiet(), clock, "n1", lambda: 0.0, follow_nobody)
-        await feed._watch_store()
-        self.assertLessEqual(feed.current_at, trio.current_time())
+        mirror = mirrors.StoreMirror(
+            Quiet(), clock, "n1", lambda: 0.0, follow_nobody
+        )
+        await mirror._watch_store()
+        self.assertLessEqual(mirror.current_at, trio.current_time())
--- a/tests/storage/test_relay.py
+++ b/tests/storage/test_relay.py
@@ -10,7 +10,7 @@
 from kingcupscale.fakes import virtualtime
 from kingcupscale.peering import relay
 from kingcupscale.storage import changelog
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 from kingcupscale.web import exchange
 from tests import virtual
@@ -51,19 +51,21 @@
     async def test_change_at_the_end_of_a_wait_is_not_skipped(self, seed):
         rng = random.Random(seed)
         clock = virtualtime.VirtualClock()
-        feed = feeds.Feed(None, clock, "n1", lambda: 0.0, follow_nobody)
-        feed.current_at = 0.0
+        mirror = mirrors.StoreMirror(
+            None, clock, "n1", lambda: 0.0, follow_nobody
+        )
+        mirror.current_at = 0.0
         client = relay.HttpRelayClient(
-            HandlerExchanger(relay.RelayHandler(feed, NoBatches()))
+            HandlerExchanger(relay.RelayHandler(mirror, NoBatches()))
         )
 
         async def change():
             for revision in range(1, 41):
                 # Most changes come just as a wait ends.
                 await trio.sleep(relay.WAIT_S * rng.choice([0.5, 1, 1, 1]))
-                feed.apply(stores.Entry("key", b"v", revision, 1))
-                feed.revision = revision
-                feed.announce()
+                mirror.apply(stores.Entry("key", b"v", revision, 1))
+                mirror.revision = revision
+                mirror.notify_changed()
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(change)
@@ -80,18 +82,20 @@
     @virtual.on_virtual_time
     async def test_answer_is_no_newer_than_the_mirror(self):
         clock = virtualtime.VirtualClock()
-        feed = feeds.Feed(None, clock, "n1", lambda: 0.0, follow_nobody)
-        feed.current_at = 0.0
-        feed.revision = 9
+        mirror = mirrors.StoreMirror(
+            None, clock, "n1", lambda: 0.0, follow_nobody
+        )
+        mirror.current_at = 0.0
+        mirror.revision = 9
         client = relay.HttpRelayClient(
-            HandlerExchanger(relay.RelayHandler(feed, NoBatches()))
+            HandlerExchanger(relay.RelayHandler(mirror, NoBatches()))
         )
 
         async def change():
             # The follower knows of this one, so it gets an empty answer early.
             await trio.sleep(0.1)
-            feed.apply(stores.Entry("key", b"v", 9, 9))
-            feed.announce()
+            mirror.apply(stores.Entry("key", b"v", 9, 9))
+            mirror.notify_changed()
 
         async with trio.open_nursery() as nursery:
             await trio.sleep(5)
@@ -101,4 +105,4 @@
                 "n1", changelog.Position("", 0, 9), interest.EVERYTHING
             )
         self.assertEqual(changes.entries, [])
-        self.assertLessEqual(asked_at - changes.age_s, feed.current_at)
+        self.assertLessEqual(asked_at - changes.age_s, mirror.current_at)
--- a/tests/storage/test_view.py
+++ b/tests/storage/test_view.py
@@ -17,7 +17,7 @@
 @attrs.define
 class Mirror:
     current_at: float
-    is_lost: bool = False
+    is_unreachable: bool = False
 
     def age_s(self):
         return trio.current_time() - self.current_at
@@ -39,13 +39,13 @@
     )
     @virtual.on_virtual_time
     async def test_old_view_is_told_from_a_silent_store(
-        self, _, age_s, is_lost, heard_s, is_current
+        self, _, age_s, is_unreachable, heard_s, is_current
     ):
         await trio.sleep(NOW_S)
         now = trio.current_time()
         heard_at = None if heard_s is None else now - heard_s
         view = views.View(
-            Mirror(now - age_s, is_lost),
+            Mirror(now - age_s, is_unreachable),
             virtualtime.VirtualClock(),
             "n",
             BOUND_S,
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -160,7 +160,7 @@
         value = orjson.dumps(counts)
         self.entries[key] = stores.Entry(key, value, 1, 1)
 
-    def under(self, prefix):
+    def entries_under(self, prefix):
         return [e for k, e in self.entries.items() if k.startswith(prefix)]
 
 
