--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -86,7 +86,7 @@
     ),
     Break(
         "orders end with the lease",
-        "storage/tenure.py",
+        "storage/locks.py",
         "return self.clock.monotonic() < self.ends_at - safety_s",
         "return self.lease != stores.NO_LEASE",
         SITE + "test_versions.VersionTest"
@@ -167,7 +167,7 @@
     ),
     Break(
         "a closed session holds nothing",
-        "storage/tenure.py",
+        "storage/locks.py",
         "while not self.is_closed:",
         "while True:",
         "tests.storage.test_session",
@@ -234,13 +234,13 @@
     Break(
         "a node's entry does not go for good",
         "runtime.py",
-        "self.presence.note_removed()",
+        "self.registration.note_removed()",
         "pass",
         SITE + "test_lifecycle.PresenceTest",
     ),
     Break(
         "a lease that nothing needs is not renewed",
-        "storage/tenure.py",
+        "storage/locks.py",
         "                if self.users:\n",
         "                if True:\n",
         "tests.storage.test_session",
--- a/src/kingcupscale/candidates.py
+++ b/src/kingcupscale/candidates.py
@@ -5,9 +5,9 @@
 from collections.abc import Sequence
 
 from kingcupscale import rendezvous
+from kingcupscale.storage import locks
 from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
-from kingcupscale.storage import tenure as tenures
 
 
 class Candidates:
@@ -25,15 +25,15 @@
         self.idle_rankings: dict[str, list[str]] = {}
         self.known: list[str] | None = None
         self.known_holders: dict[str, str] | None = None
-        mirror.subscribe(tenures.NODES_PREFIX, self._take_node)
-        mirror.subscribe(tenures.DUTIES_PREFIX, self._take_duty)
+        mirror.subscribe(locks.NODES_PREFIX, self._take_node)
+        mirror.subscribe(locks.DUTIES_PREFIX, self._take_duty)
 
     def names(self) -> list[str]:
         """Returns the nodes that take part, this one included."""
         if self.known is None:
             self.known = [
-                entry.key.removeprefix(tenures.NODES_PREFIX)
-                for entry in self.mirror.entries_under(tenures.NODES_PREFIX)
+                entry.key.removeprefix(locks.NODES_PREFIX)
+                for entry in self.mirror.entries_under(locks.NODES_PREFIX)
             ]
         return self.known
 
@@ -41,10 +41,10 @@
         """Returns the nodes that hold duties, by duty."""
         if self.known_holders is None:
             self.known_holders = {
-                entry.key.removeprefix(tenures.DUTIES_PREFIX): (
+                entry.key.removeprefix(locks.DUTIES_PREFIX): (
                     (entry.value or b"").decode().partition(" ")[0]
                 )
-                for entry in self.mirror.entries_under(tenures.DUTIES_PREFIX)
+                for entry in self.mirror.entries_under(locks.DUTIES_PREFIX)
             }
         return self.known_holders
 
--- a/src/kingcupscale/fleet/peers.py
+++ b/src/kingcupscale/fleet/peers.py
@@ -14,9 +14,9 @@
 from kingcupscale.peering import commits
 from kingcupscale.peering import relay
 from kingcupscale.storage import changelog
+from kingcupscale.storage import locks
 from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
-from kingcupscale.storage import tenure as tenures
 
 # A node that did not answer, or has an old mirror itself, is not asked again
 # for this long, so that others are asked meanwhile.
@@ -73,8 +73,8 @@
         if self.mirror is None:
             return {}
         found = {}
-        for entry in self.mirror.entries_under(tenures.NODES_PREFIX):
-            name = entry.key.removeprefix(tenures.NODES_PREFIX)
+        for entry in self.mirror.entries_under(locks.NODES_PREFIX):
+            name = entry.key.removeprefix(locks.NODES_PREFIX)
             address = orjson.loads(entry.value or b"{}").get("peers", "")
             if name != self.node and address:
                 found[name] = address
@@ -87,7 +87,7 @@
     def holding(self, duty: str) -> str:
         """Returns the node that holds a duty and its lease; empty for none."""
         entry = (
-            self.mirror.entries.get(tenures.DUTIES_PREFIX + duty)
+            self.mirror.entries.get(locks.DUTIES_PREFIX + duty)
             if self.mirror
             else None
         )
--- a/src/kingcupscale/fleet/serverclient.py
+++ b/src/kingcupscale/fleet/serverclient.py
@@ -9,7 +9,7 @@
 import attrs
 
 from kingcupscale.fleet import roster
-from kingcupscale.storage import tenure as tenures
+from kingcupscale.storage import locks
 
 
 class ServerError(Exception):
@@ -145,7 +145,7 @@
     model: str
     version: int
     keeps_runs: bool
-    holder: tenures.Holder
+    holder: locks.Holder
     expected_sequence: int
 
 
--- a/src/kingcupscale/leading.py
+++ b/src/kingcupscale/leading.py
@@ -13,8 +13,8 @@
 from kingcupscale.capacity import fleetsize
 from kingcupscale.peering import calls
 from kingcupscale.peering import loads
+from kingcupscale.storage import locks
 from kingcupscale.storage import store as stores
-from kingcupscale.storage import tenure as tenures
 
 if TYPE_CHECKING:
     from kingcupscale import runtime as runtimes
@@ -48,7 +48,7 @@
         around = runtime.surroundings
         self.runtime = runtime
         self.service = service
-        self.tenure = tenures.Tenure(
+        self.duty_lock = locks.DutyLock(
             service, runtime.session, runtime.mirror, around.clock
         )
         self.coordinator = coordinators.Coordinator(
@@ -63,7 +63,7 @@
             runtime.view,
         )
         self.loader = loaders.Loader(
-            self.tenure,
+            self.duty_lock,
             runtime.roster,
             around.servers,
             runtime.directives.named_versions,
@@ -72,7 +72,7 @@
             self._tell,
         )
         self.sizer = fleetsize.Sizer(
-            self.tenure,
+            self.duty_lock,
             runtime.roster,
             around.provider,
             around.clock,
@@ -95,10 +95,10 @@
                     await self.sizer.step()
                 await self._forget_old_batches()
 
-            await tenures.hold(
-                self.tenure,
+            await locks.run_while_held(
+                self.duty_lock,
                 work,
-                lambda: rank(self.runtime, self.tenure.name),
+                lambda: rank(self.runtime, self.duty_lock.name),
                 DUTY_PAUSE_S,
             )
 
@@ -169,7 +169,7 @@
         self.heard_from = ""
         self.heard_at = 0.0
         self.probed_at = 0.0
-        self.tenure = tenures.Tenure(
+        self.duty_lock = locks.DutyLock(
             model_duty(leader.service, model),
             runtime.session,
             runtime.mirror,
@@ -188,7 +188,7 @@
     def wants_batches(self) -> bool:
         """Tells whether this node runs the model's batches, or would next."""
         node = self.runtime.settings.node
-        holder = self.runtime.peers.holder(self.tenure.name)
+        holder = self.runtime.peers.holder(self.duty_lock.name)
         others = [name for name in self._ranking() if name != holder]
         return (
             holder == node
@@ -231,9 +231,9 @@
     def _find_successor(self) -> tuple[str, str] | None:
         """Returns the node that runs the samples next, if not this one."""
         peers_known = self.runtime.peers
-        holder = peers_known.holder(self.tenure.name)
+        holder = peers_known.holder(self.duty_lock.name)
         ranking = self._ranking()
-        if holder and not self.tenure.is_held():
+        if holder and not self.duty_lock.is_held():
             ranking = [holder, *ranking]
         return peers_known.successor(ranking)
 
@@ -242,8 +242,8 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_holder)
             nursery.start_soon(self.copier.run)
-            await tenures.hold(
-                self.tenure, self._do_nothing, self._rank, DUTY_PAUSE_S
+            await locks.run_while_held(
+                self.duty_lock, self._do_nothing, self._rank, DUTY_PAUSE_S
             )
 
     async def _do_nothing(self) -> None:
@@ -253,7 +253,7 @@
         """Prefers the node that runs the samples, then ones without duty."""
         if self.coordinator.is_active(self.model):
             return 0
-        if is_small_fleet(self.runtime) and self.leader.tenure.is_held():
+        if is_small_fleet(self.runtime) and self.leader.duty_lock.is_held():
             return 0
         return 1 + self.runtime.candidates.place(self._ranking())
 
@@ -261,7 +261,7 @@
         """Returns the candidates, the preferred one first."""
         if is_small_fleet(self.runtime):
             return self.runtime.candidates.ranking(self.service)
-        return self.runtime.candidates.idle_ranking(self.tenure.name)
+        return self.runtime.candidates.idle_ranking(self.duty_lock.name)
 
     def _is_surplus(self) -> bool:
         """Tells whether an idle node of a large fleet is to run the samples.
@@ -277,7 +277,7 @@
             found.node,
             found.names(),
         )
-        return surplus == self.tenure.name
+        return surplus == self.duty_lock.name
 
     async def _pass_on(self) -> None:
         """Has an idle node go on with the samples and take the duty."""
@@ -289,11 +289,11 @@
             return
         self.coordinator.set_active(self.model, False)
         try:
-            await self.tenure.give_up()
+            await self.duty_lock.release()
         except stores.StoreError as e:
             events.log(
                 events.Event.STORE_FAILED,
-                duty=self.tenure.name,
+                duty=self.duty_lock.name,
                 reason=e.reason,
             )
 
@@ -303,8 +303,8 @@
         A planned stop hands them over, and none are taken up from then on.
         """
         while not self.runtime.is_draining:
-            holder = self.runtime.peers.holder(self.tenure.name)
-            if self.tenure.is_held():
+            holder = self.runtime.peers.holder(self.duty_lock.name)
+            if self.duty_lock.is_held():
                 self.coordinator.set_active(self.model, True)
                 if self._is_surplus():
                     await self._pass_on()
--- a/src/kingcupscale/platform/cloud.py
+++ b/src/kingcupscale/platform/cloud.py
@@ -2,7 +2,7 @@
 
 from kingcupscale.capacity import fleetsize
 from kingcupscale.platform import names
-from kingcupscale.storage import tenure as tenures
+from kingcupscale.storage import locks
 from kingcupscale.usage import windows
 from kingcupscale.web import exchange
 from kingcupscale.web import message
@@ -23,7 +23,7 @@
         self.address = address
 
     async def report(
-        self, window: int, counts: dict[str, int], holder: tenures.Holder
+        self, window: int, counts: dict[str, int], holder: locks.Holder
     ) -> None:
         """Sends one window's figures."""
         body = {"window": window, "counts": counts}
@@ -31,7 +31,7 @@
             response = await self._post("/usage", body, holder)
         except exchange.ExchangeError as e:
             raise windows.ReportError(e.reason, False) from e
-        except tenures.DutyLostError as e:
+        except locks.DutyLostError as e:
             raise windows.ReportError("the duty is not held", False) from e
         if response.status != 200:
             raise windows.ReportError(
@@ -39,7 +39,7 @@
             )
 
     async def order(
-        self, order: fleetsize.Order, holder: tenures.Holder
+        self, order: fleetsize.Order, holder: locks.Holder
     ) -> fleetsize.OrderState:
         """Orders a number of servers."""
         body = {
@@ -53,7 +53,7 @@
             response = await self._post("/scale", body, holder)
         except exchange.ExchangeError as e:
             raise fleetsize.OrderError(e.reason) from e
-        except tenures.DutyLostError as e:
+        except locks.DutyLostError as e:
             raise fleetsize.OrderError("the duty is not held") from e
         if response.status == 200:
             return fleetsize.OrderState.TAKEN
@@ -63,12 +63,12 @@
         raise fleetsize.OrderError(f"status {response.status}")
 
     async def _post(
-        self, path: str, body: object, holder: tenures.Holder
+        self, path: str, body: object, holder: locks.Holder
     ) -> message.Response:
         headers = {
             "host": self.address,
             names.DUTY_HOLDER: holder.node,
-            names.FENCE: str(holder.fence),
+            names.FENCE: str(holder.fencing_token),
         }
         request = message.json_request(path, body, headers)
         request.before_send = holder.check
--- a/src/kingcupscale/platform/servers.py
+++ b/src/kingcupscale/platform/servers.py
@@ -9,7 +9,7 @@
 from kingcupscale.fleet import serverclient
 from kingcupscale.platform import documents
 from kingcupscale.platform import names
-from kingcupscale.storage import tenure as tenures
+from kingcupscale.storage import locks
 from kingcupscale.web import exchange
 from kingcupscale.web import message
 
@@ -100,7 +100,7 @@
             # "retain" lets runs go on, "park" lets them finish first.
             "mode": "retain" if order.keeps_runs else "park",
             "holder": order.holder.node,
-            "fence": order.holder.fence,
+            "fence": order.holder.fencing_token,
             # The wire calls the count of accepted orders a revision here.
             "expectedRev": order.expected_sequence,
         }
@@ -145,7 +145,7 @@
             )
         except exchange.ExchangeError as e:
             raise serverclient.ServerError(e.reason, e.request_left) from e
-        except tenures.DutyLostError as e:
+        except locks.DutyLostError as e:
             raise serverclient.ServerError("duty not held", False) from e
         if names.SIGNATURE in response.headers:
             # Only answers to requests are signed: a late copy of one of them.
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -31,9 +31,9 @@
 from kingcupscale.peering import relay
 from kingcupscale.storage import changelog
 from kingcupscale.storage import detour
+from kingcupscale.storage import locks
 from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
-from kingcupscale.storage import tenure as tenures
 from kingcupscale.storage import view as views
 from kingcupscale.usage import telling
 from kingcupscale.usage import windows
@@ -135,10 +135,10 @@
         ttl_s = max(
             settings.least_lease_s, LEASE_SHARE * settings.bounds.lease_s
         )
-        self.session = tenures.Session(
+        self.session = locks.LeaseSession(
             around.store, self.clock, settings.node, ttl_s
         )
-        self.presence = tenures.Presence(
+        self.registration = locks.NodeRegistration(
             around.store,
             self.clock,
             settings.node,
@@ -146,7 +146,7 @@
             orjson.dumps({"peers": settings.peers}),
         )
         self.candidates = candidates.Candidates(self.mirror, settings.node)
-        self.mirror.subscribe(tenures.NODES_PREFIX, self._take_node)
+        self.mirror.subscribe(locks.NODES_PREFIX, self._take_node)
         self.directives = directives.Directives(
             self.mirror, self.roster, around.keys, around.decoders
         )
@@ -161,7 +161,7 @@
     def _make_serving(self) -> None:
         settings, around = self.settings, self.surroundings
         self.reporter = windows.WindowReporter(
-            tenures.Tenure(windows.DUTY, self.session, self.mirror, self.clock),
+            locks.DutyLock(windows.DUTY, self.session, self.mirror, self.clock),
             self.mirror,
             around.intake,
             self.clock,
@@ -275,11 +275,11 @@
     def duties_held(self) -> int:
         """Returns how many duties this node holds."""
         duties = [*self.services.values(), *self.models.values()]
-        return sum(duty.tenure.is_held() for duty in duties)
+        return sum(duty.duty_lock.is_held() for duty in duties)
 
     def leads(self) -> bool:
         """Tells whether this node holds a service's duty."""
-        return any(d.tenure.is_held() for d in self.services.values())
+        return any(d.duty_lock.is_held() for d in self.services.values())
 
     async def _follow(
         self, position: changelog.Position
@@ -332,9 +332,9 @@
 
     def _take_node(self, entry: stores.Entry) -> None:
         """Has this node's own entry written again once it is gone."""
-        is_own = entry.key == tenures.NODES_PREFIX + self.settings.node
+        is_own = entry.key == locks.NODES_PREFIX + self.settings.node
         if is_own and entry.value is None:
-            self.presence.note_removed()
+            self.registration.note_removed()
 
     async def run(self) -> None:
         """Runs until a planned stop has ended."""
@@ -344,7 +344,7 @@
                 keeper.Keeper(self.book, self.clock).run,
                 self._keep_batches,
                 self.session.run,
-                self.presence.run,
+                self.registration.run,
                 self._sweep_forever,
                 self._lead_services,
                 self._share_usage,
@@ -362,7 +362,7 @@
         for duty in self.models.values():
             await duty.hand_over()
         await self.session.close()
-        await self.presence.close()
+        await self.registration.close()
         with trio.move_on_after(1.0):
             try:
                 await self.usage.share(is_last=True)
@@ -417,8 +417,8 @@
     async def _report_usage(self) -> None:
         if not self.settings.reports_usage:
             return
-        await tenures.hold(
-            self.reporter.tenure,
+        await locks.run_while_held(
+            self.reporter.duty_lock,
             self._look_after_store,
             lambda: leading.rank(self, windows.DUTY),
             USAGE_PAUSE_S,
--- a/src/kingcupscale/storage/tenure.py
+++ b/src/kingcupscale/storage/locks.py
@@ -33,16 +33,16 @@
 
     Attributes:
         node: The node's name.
-        fence: Its fencing number.
+        fencing_token: Its fencing number.
         check: Raises ``DutyLostError`` if the call must not leave any more.
     """
 
     node: str
-    fence: int
+    fencing_token: int
     check: Callable[[], None]
 
 
-class Session:
+class LeaseSession:
     """A node's lease, which entries in the store are bound to.
 
     The lease's end counts from before its renewal was sent, on a clock that
@@ -172,7 +172,7 @@
             events.log(events.Event.STORE_FAILED, node=self.node, reason=str(e))
 
 
-class Presence(Session):
+class NodeRegistration(LeaseSession):
     """A session that keeps the node's own entry in the store.
 
     Args:
@@ -222,7 +222,7 @@
         self.is_announced = True
 
 
-class Tenure:
+class DutyLock:
     """One duty as seen by one node.
 
     The revision at which the duty's key was created only grows and belongs to
@@ -238,7 +238,7 @@
     def __init__(
         self,
         name: str,
-        session: Session,
+        session: LeaseSession,
         mirror: mirrors.StoreMirror,
         clock: clocks.Clock,
     ) -> None:
@@ -246,8 +246,8 @@
         self.session = session
         self.mirror = mirror
         self.clock = clock
-        self.fence = 0
-        self.given_up = 0
+        self.fencing_token = 0
+        self.released_token = 0
         self.lease = stores.NO_LEASE
 
     @property
@@ -258,14 +258,14 @@
     def is_held(self) -> bool:
         """Tells whether this node surely holds the duty right now."""
         return (
-            self.fence > 0
+            self.fencing_token > 0
             and self.lease == self.session.lease
             and self.session.is_held()
         )
 
     def holder(self) -> Holder:
         """Returns what a call of the holder bears."""
-        return Holder(self.session.node, self.fence, self.check)
+        return Holder(self.session.node, self.fencing_token, self.check)
 
     def check(self) -> None:
         """Lets a call leave that only the holder may send.
@@ -279,7 +279,7 @@
         if not self.is_held():
             raise DutyLostError(self.name)
 
-    async def attempt(self) -> None:
+    async def try_acquire(self) -> None:
         """Takes the duty if nobody holds it.
 
         Raises:
@@ -287,10 +287,10 @@
         """
         if self.is_held():
             return
-        if self.fence and self.lease != self.session.lease:
-            self._lose()
+        if self.fencing_token and self.lease != self.session.lease:
+            self._set_lost()
         known = self.mirror.entries.get(self.key)
-        if known is not None and known.created == self.given_up:
+        if known is not None and known.created == self.released_token:
             await self._remove(known)
             return
         if known is not None and not self._is_own(known):
@@ -301,22 +301,22 @@
         if known is None:
             known = await self._create()
         if known is not None and self._is_own(known):
-            self._gain(known.created)
+            self._set_held(known.created)
 
-    async def give_up(self) -> None:
+    async def release(self) -> None:
         """Leaves the duty to another node, while the lease goes on.
 
         It is never held again under its present fencing number.
 
         Raises:
-            StoreError: If the key may be left; ``attempt`` goes on with it.
+            StoreError: If the key may be left; ``try_acquire`` goes on with it.
         """
         if not self.is_held():
             return
-        self.given_up = self.fence
-        self._lose()
+        self.released_token = self.fencing_token
+        self._set_lost()
         known = self.mirror.entries.get(self.key)
-        if known is not None and known.created == self.given_up:
+        if known is not None and known.created == self.released_token:
             await self._remove(known)
 
     async def _remove(self, known: stores.Entry) -> None:
@@ -360,30 +360,30 @@
             self.mirror.apply(entry)
         return entry
 
-    def _gain(self, fence: int) -> None:
-        self.fence = fence
+    def _set_held(self, fencing_token: int) -> None:
+        self.fencing_token = fencing_token
         self.lease = self.session.lease
         self.session.users.add(self)
         events.log(
             events.Event.DUTY_TAKEN,
             node=self.session.node,
             duty=self.name,
-            fence=fence,
+            fence=fencing_token,
         )
 
-    def _lose(self) -> None:
+    def _set_lost(self) -> None:
         events.log(
             events.Event.DUTY_LOST,
             node=self.session.node,
             duty=self.name,
-            fence=self.fence,
+            fence=self.fencing_token,
         )
-        self.fence = 0
+        self.fencing_token = 0
         self.session.users.discard(self)
 
 
-async def hold(
-    tenure: Tenure,
+async def run_while_held(
+    duty_lock: DutyLock,
     work: Callable[[], Awaitable[None]],
     rank: Callable[[], int],
     pause_s: float,
@@ -391,7 +391,7 @@
     """Contends for a duty, and works at it at a steady pace while held.
 
     Args:
-        tenure: The duty.
+        duty_lock: The duty.
         work: One round of it; raises nothing but ``StoreError``.
         rank: This node's place among the candidates, 0 for the preferred one;
             the others wait, so that they do not all write at once.
@@ -399,30 +399,30 @@
     """
     while True:
         try:
-            if not tenure.is_held():
-                await _wait_for_turn(tenure, rank)
-                await tenure.attempt()
-            if tenure.is_held():
+            if not duty_lock.is_held():
+                await _wait_for_turn(duty_lock, rank)
+                await duty_lock.try_acquire()
+            if duty_lock.is_held():
                 await work()
         except stores.StoreError as e:
             events.log(
                 events.Event.STORE_FAILED,
-                node=tenure.session.node,
-                duty=tenure.name,
+                node=duty_lock.session.node,
+                duty=duty_lock.name,
                 reason=e.reason,
             )
-        await tenure.clock.rest(pause_s)
+        await duty_lock.clock.rest(pause_s)
 
 
-async def _wait_for_turn(tenure: Tenure, rank: Callable[[], int]) -> None:
+async def _wait_for_turn(duty_lock: DutyLock, rank: Callable[[], int]) -> None:
     """Gives preferred candidates time to take a free duty first.
 
     Whoever takes another duty meanwhile is ranked anew.
     """
-    began_at = tenure.clock.monotonic()
-    while tenure.key not in tenure.mirror.entries:
-        left_s = began_at + TURN_S * rank() - tenure.clock.monotonic()
+    began_at = duty_lock.clock.monotonic()
+    while duty_lock.key not in duty_lock.mirror.entries:
+        left_s = began_at + TURN_S * rank() - duty_lock.clock.monotonic()
         if left_s <= 0:
             return
         with trio.move_on_after(left_s):
-            await tenure.mirror.changed.wait()
+            await duty_lock.mirror.changed.wait()
--- a/tests/platform/test_endless.py
+++ b/tests/platform/test_endless.py
@@ -26,14 +26,14 @@
 from kingcupscale.platform import documents
 from kingcupscale.platform import names
 from kingcupscale.platform import servers
-from kingcupscale.storage import tenure as tenures
+from kingcupscale.storage import locks
 from kingcupscale.storage import view as views
 from kingcupscale.web import exchange
 from tests.platform import endlessserver
 from tests.platform import standin
 
 GUARD_S = 30.0
-HOLDER = tenures.Holder("n1", 1, lambda: None)
+HOLDER = locks.Holder("n1", 1, lambda: None)
 PATIENCE_S = 0.6
 HEAD_S = 0.8
 SLACK_S = 0.7
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -8,12 +8,12 @@
 
 from kingcupscale.fleet import serverclient
 from kingcupscale.platform import names
-from kingcupscale.storage import tenure as tenures
+from kingcupscale.storage import locks
 from kingcupscale.web import message
 from tests import virtual
 from tests.platform import standin
 
-HOLDER = tenures.Holder("n1", 1, lambda: None)
+HOLDER = locks.Holder("n1", 1, lambda: None)
 PLAIN = ("p1", "p2")
 ENGINES = ("e1", "e2")
 
--- a/tests/platform/test_lifecycle.py
+++ b/tests/platform/test_lifecycle.py
@@ -7,7 +7,7 @@
 import trio
 
 from kingcupscale.platform import names
-from kingcupscale.storage import tenure as tenures
+from kingcupscale.storage import locks
 from tests import virtual
 from tests.platform import standin
 
@@ -194,7 +194,7 @@
     @virtual.on_virtual_time
     async def test_entry_that_was_removed_is_written_again(self):
         async with standin.opened() as site:
-            key = tenures.NODES_PREFIX + "n1"
+            key = locks.NODES_PREFIX + "n1"
             # As if an earlier entry came late, under a lease that then ended.
             site.store.remove(key)
             await trio.sleep(5)
--- a/tests/platform/test_permission.py
+++ b/tests/platform/test_permission.py
@@ -12,8 +12,8 @@
 from kingcupscale.fleet import serverclient
 from kingcupscale.platform import cloud
 from kingcupscale.platform import servers
+from kingcupscale.storage import locks
 from kingcupscale.storage import mirror as mirrors
-from kingcupscale.storage import tenure as tenures
 from kingcupscale.usage import windows
 from kingcupscale.web import message
 from tests import virtual
@@ -41,14 +41,14 @@
         yield message.Response(200)
 
 
-def _make_tenure(clock):
-    session = tenures.Session(None, clock, "n1", TTL_S)
+def _make_lock(clock):
+    session = locks.LeaseSession(None, clock, "n1", TTL_S)
     session.lease = 7
     session.ends_at = clock.monotonic() + TTL_S
     mirror = mirrors.StoreMirror(None, clock, "n1", lambda: 0.0, None)
-    tenure = tenures.Tenure("duty", session, mirror, clock)
-    tenure.fence, tenure.lease = 3, 7
-    return tenure
+    duty_lock = locks.DutyLock("duty", session, mirror, clock)
+    duty_lock.fencing_token, duty_lock.lease = 3, 7
+    return duty_lock
 
 
 async def _report(exchanger, holder):
@@ -86,9 +86,9 @@
         self, _, send, delay_s, leaves
     ):
         clock = virtualtime.VirtualClock()
-        tenure = _make_tenure(clock)
+        duty_lock = _make_lock(clock)
         await trio.sleep(CHECKED_S)
-        self.assertTrue(tenure.is_held())
+        self.assertTrue(duty_lock.is_held())
         exchanger = SlowExchanger(delay_s)
         failures = (
             windows.ReportError,
@@ -96,5 +96,5 @@
             serverclient.ServerError,
         )
         with contextlib.suppress(*failures):
-            await send(exchanger, tenure.holder())
+            await send(exchanger, duty_lock.holder())
         self.assertEqual(len(exchanger.left), leaves)
--- a/tests/platform/test_spreading.py
+++ b/tests/platform/test_spreading.py
@@ -6,7 +6,7 @@
 import trio
 
 from kingcupscale import leading
-from kingcupscale.storage import tenure as tenures
+from kingcupscale.storage import locks
 from tests import virtual
 from tests.platform import serverstandin
 from tests.platform import standin
@@ -21,7 +21,7 @@
 
 def holders(site):
     """Returns who holds each duty, as the store says."""
-    values = [site.store.value(tenures.DUTIES_PREFIX + d) for d in DUTIES]
+    values = [site.store.value(locks.DUTIES_PREFIX + d) for d in DUTIES]
     return [(value or b"").decode().partition(" ")[0] for value in values]
 
 
--- a/tests/storage/test_giveup.py
+++ b/tests/storage/test_locks.py
@@ -7,13 +7,13 @@
 import trio
 
 from kingcupscale.fakes import virtualtime
+from kingcupscale.storage import locks
 from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
-from kingcupscale.storage import tenure as tenures
 from tests import virtual
 
 DUTY = "engines/alpha"
-KEY = tenures.DUTIES_PREFIX + DUTY
+KEY = locks.DUTIES_PREFIX + DUTY
 
 
 class Store:
@@ -63,14 +63,14 @@
     return None
 
 
-def make_tenure(store, node):
+def make_lock(store, node):
     clock = virtualtime.VirtualClock()
     mirror = mirrors.StoreMirror(store, clock, node, lambda: 0.0, follow_nobody)
-    session = tenures.Session(store, clock, node, 2.0)
-    return tenures.Tenure(DUTY, session, mirror, clock)
+    session = locks.LeaseSession(store, clock, node, 2.0)
+    return locks.DutyLock(DUTY, session, mirror, clock)
 
 
-class GiveUpTest(unittest.TestCase):
+class ReleaseTest(unittest.TestCase):
     @parameterized.parameterized.expand(
         [
             ("at_once", []),
@@ -82,12 +82,12 @@
     @virtual.on_virtual_time
     async def test_fencing_number_is_never_held_again(self, _, lost):
         store = Store()
-        one, two = make_tenure(store, "n1"), make_tenure(store, "n2")
-        await one.attempt()
-        fence = one.fence
+        one, two = make_lock(store, "n1"), make_lock(store, "n2")
+        await one.try_acquire()
+        fence = one.fencing_token
         mirrored = store.entries[KEY]
         store.lost = list(lost)
-        for step in (one.give_up, *4 * [one.attempt]):
+        for step in (one.release, *4 * [one.try_acquire]):
             with contextlib.suppress(stores.StoreError):
                 await step()
             self.assertFalse(one.is_held())
@@ -95,24 +95,24 @@
                 break
         self.assertNotIn(KEY, store.entries)
         self.assertEqual(store.lost, [])
-        await two.attempt()
-        self.assertGreater(two.fence, fence)
+        await two.try_acquire()
+        self.assertGreater(two.fencing_token, fence)
         # The removed key once more, by an old answer of another node.
         one.mirror.apply(mirrored)
         for _ in range(3):
-            await one.attempt()
+            await one.try_acquire()
             self.assertFalse(one.is_held())
         self.assertTrue(two.is_held())
-        self.assertEqual(store.entries[KEY].created, two.fence)
+        self.assertEqual(store.entries[KEY].created, two.fencing_token)
 
     @virtual.on_virtual_time
     async def test_it_can_be_taken_anew_under_a_higher_number(self):
-        tenure = make_tenure(Store(), "n1")
-        await tenure.attempt()
-        fence = tenure.fence
-        await tenure.give_up()
-        self.assertFalse(tenure.is_held())
-        self.assertEqual(tenure.session.users, set())
-        await tenure.attempt()
-        self.assertTrue(tenure.is_held())
-        self.assertGreater(tenure.fence, fence)
+        duty_lock = make_lock(Store(), "n1")
+        await duty_lock.try_acquire()
+        fence = duty_lock.fencing_token
+        await duty_lock.release()
+        self.assertFalse(duty_lock.is_held())
+        self.assertEqual(duty_lock.session.users, set())
+        await duty_lock.try_acquire()
+        self.assertTrue(duty_lock.is_held())
+        self.assertGreater(duty_lock.fencing_token, fence)
--- a/tests/storage/test_session.py
+++ b/tests/storage/test_session.py
@@ -6,8 +6,8 @@
 import trio
 
 from kingcupscale.fakes import virtualtime
+from kingcupscale.storage import locks
 from kingcupscale.storage import store as stores
-from kingcupscale.storage import tenure as tenures
 from tests import virtual
 
 TTL_S = 2.0
@@ -51,8 +51,8 @@
     """Returns a session that something needs."""
     clock = virtualtime.VirtualClock()
     if kind == "presence":
-        return tenures.Presence(store, clock, "n1", TTL_S, b"{}")
-    session = tenures.Session(store, clock, "n1", TTL_S)
+        return locks.NodeRegistration(store, clock, "n1", TTL_S, b"{}")
+    session = locks.LeaseSession(store, clock, "n1", TTL_S)
     session.users.add("duty")
     return session
 
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -8,8 +8,8 @@
 import trio
 
 from kingcupscale.fakes import virtualtime
+from kingcupscale.storage import locks
 from kingcupscale.storage import store as stores
-from kingcupscale.storage import tenure as tenures
 from kingcupscale.usage import windows
 from tests import virtual
 
@@ -185,15 +185,15 @@
 
     def _make(self, mirror, intake, node):
         session = types.SimpleNamespace(node=node)
-        tenure = types.SimpleNamespace(
+        duty_lock = types.SimpleNamespace(
             session=session,
-            fence=1,
+            fencing_token=1,
             is_held=lambda: True,
-            holder=lambda: tenures.Holder(node, 1, lambda: None),
+            holder=lambda: locks.Holder(node, 1, lambda: None),
         )
         clock = virtualtime.VirtualClock()
         return windows.WindowReporter(
-            tenure, mirror, intake, clock, WINDOW_S, 4.0
+            duty_lock, mirror, intake, clock, WINDOW_S, 4.0
         )
 
     @virtual.on_virtual_time
