--- a/src/kingcupscale/batches/acceptance.py
+++ b/src/kingcupscale/batches/acceptance.py
@@ -7,7 +7,7 @@
 from kingcupscale import events
 from kingcupscale.batches import batch
 from kingcupscale.batches import record as records
-from kingcupscale.storage import detour
+from kingcupscale.storage import fallback
 from kingcupscale.storage import store as stores
 
 # Pause between two tries of a write that the store did not take.
@@ -64,7 +64,7 @@
 
 
 async def commit_for_sure(
-    store: detour.DetourStore,
+    store: fallback.FallbackStore,
     clock: clocks.Clock,
     transaction: stores.Transaction,
     patience_s: float,
--- a/src/kingcupscale/batches/book.py
+++ b/src/kingcupscale/batches/book.py
@@ -13,8 +13,8 @@
 from kingcupscale.batches import interest as interests
 from kingcupscale.batches import record as records
 from kingcupscale.batches import source as sources
-from kingcupscale.storage import detour
-from kingcupscale.storage import entries
+from kingcupscale.storage import decoding
+from kingcupscale.storage import fallback
 from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 
@@ -79,7 +79,7 @@
     def __init__(
         self,
         mirror: mirrors.StoreMirror,
-        store: detour.DetourStore,
+        store: fallback.FallbackStore,
         clock: clocks.Clock,
         value_bytes: int,
         fetch_copy: sources.FetchCopy,
@@ -188,7 +188,7 @@
             return
         parts = self.waiting_parts.setdefault(batch_id, {})
         parts[number] = entry.value
-        record = entries.read(entry, lambda _: records.assemble(parts))
+        record = decoding.decode_entry(entry, lambda _: records.assemble(parts))
         if record is None:
             return
         del self.waiting_parts[batch_id]
@@ -228,7 +228,9 @@
         record = self.records.get(batch_id)
         if record is None:
             return
-        entries.read(entry, lambda v: record.take_value(int(number), v))
+        decoding.decode_entry(
+            entry, lambda v: record.take_value(int(number), v)
+        )
 
     def _note_reloaded(self) -> None:
         """Has all batches looked at again: results may have been missed."""
--- a/src/kingcupscale/batches/retention.py
+++ b/src/kingcupscale/batches/retention.py
@@ -6,7 +6,7 @@
 from kingcupscale import errors
 from kingcupscale.batches import book as books
 from kingcupscale.batches import record as records
-from kingcupscale.storage import entries
+from kingcupscale.storage import decoding
 from kingcupscale.storage import store as stores
 
 # Keys in one transaction, which the store takes at the least.
@@ -66,7 +66,7 @@
         if entry is None or entry.value is None:
             return
         decode = functools.partial(records.decode, records.Specification)
-        head = entries.read(entry, decode)
+        head = decoding.decode_entry(entry, decode)
         if head is None:
             return
         self.book.known[batch_id] = books.Known(
--- a/src/kingcupscale/batches/source.py
+++ b/src/kingcupscale/batches/source.py
@@ -8,7 +8,7 @@
 from kingcupscale import clock as clocks
 from kingcupscale import errors
 from kingcupscale.batches import record as records
-from kingcupscale.storage import detour
+from kingcupscale.storage import fallback
 from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 
@@ -33,7 +33,7 @@
     def __init__(
         self,
         mirror: mirrors.StoreMirror,
-        store: detour.DetourStore,
+        store: fallback.FallbackStore,
         clock: clocks.Clock,
         fetch_copy: FetchCopy,
     ) -> None:
--- a/src/kingcupscale/directives.py
+++ b/src/kingcupscale/directives.py
@@ -6,7 +6,7 @@
 from kingcupscale import surroundings
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import roster
-from kingcupscale.storage import entries
+from kingcupscale.storage import decoding
 from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 
@@ -46,7 +46,7 @@
     def _take_configuration(self, entry: stores.Entry) -> None:
         if entry.value is None:
             return
-        found = entries.read(entry, self.decoders.catalogue)
+        found = decoding.decode_entry(entry, self.decoders.catalogue)
         if found is None or not catalogue.is_newer(found, self.catalogue):
             return
         self.catalogue = found
@@ -63,14 +63,14 @@
             self.servers.remove(server_id)
             return
         decode = functools.partial(self.decoders.server, server_id)
-        found = entries.read(entry, decode)
+        found = decoding.decode_entry(entry, decode)
         if found is not None:
             self.servers.enter(found)
 
     def _take_version(self, entry: stores.Entry) -> None:
         if entry.value is None:
             return
-        found = entries.read(entry, self.decoders.named_version)
+        found = decoding.decode_entry(entry, self.decoders.named_version)
         if found is None:
             return
         model, version = found
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -30,7 +30,7 @@
 from kingcupscale.peering import pace
 from kingcupscale.peering import relay
 from kingcupscale.storage import changelog
-from kingcupscale.storage import detour
+from kingcupscale.storage import fallback
 from kingcupscale.storage import locks
 from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
@@ -125,7 +125,7 @@
         )
         self.book = books.Book(
             self.mirror,
-            detour.DetourStore(around.store, self.peers.commit),
+            fallback.FallbackStore(around.store, self.peers.commit),
             self.clock,
             settings.value_bytes,
             self._fetch_copy,
--- a/src/kingcupscale/storage/entries.py
+++ b/src/kingcupscale/storage/decoding.py
@@ -11,7 +11,7 @@
 T = TypeVar("T")
 
 
-def read(entry: stores.Entry, decode: Callable[[bytes], T]) -> T | None:
+def decode_entry(entry: stores.Entry, decode: Callable[[bytes], T]) -> T | None:
     """Returns what a value says; None, with a log line, if it makes no sense.
 
     Args:
--- a/src/kingcupscale/storage/detour.py
+++ b/src/kingcupscale/storage/fallback.py
@@ -8,12 +8,12 @@
 
 # Commits a transaction through another node; None if there is none to ask.
 # Raises ``StoreError`` as the store does.
-CommitElsewhere = Callable[
+CommitThroughPeer = Callable[
     [stores.Transaction], Awaitable[tuple[int | None] | None]
 ]
 
 
-class DetourStore:
+class FallbackStore:
     """A store whose commits take a detour where the straight way fails.
 
     Only for transactions that hold when they are repeated: each has a
@@ -21,14 +21,14 @@
 
     Args:
         store: The straight way.
-        commit_elsewhere: The detour.
+        commit_through_peer: The detour.
     """
 
     def __init__(
-        self, store: stores.Store, commit_elsewhere: CommitElsewhere
+        self, store: stores.Store, commit_through_peer: CommitThroughPeer
     ) -> None:
         self.store = store
-        self.commit_elsewhere = commit_elsewhere
+        self.commit_through_peer = commit_through_peer
 
     async def scan(self, prefix: str, after: str = "") -> stores.Page:
         """Returns a page of the entries under a prefix, past a key."""
@@ -46,7 +46,7 @@
             may_have_run = e.may_have_run
             reason = e.reason
         try:
-            answer = await self.commit_elsewhere(transaction)
+            answer = await self.commit_through_peer(transaction)
         except stores.StoreError as e:
             raise stores.StoreError(
                 f"{reason}; through another node: {e.reason}",
--- a/src/kingcupscale/usage/windows.py
+++ b/src/kingcupscale/usage/windows.py
@@ -7,7 +7,7 @@
 
 from kingcupscale import clock as clocks
 from kingcupscale import events
-from kingcupscale.storage import entries
+from kingcupscale.storage import decoding
 from kingcupscale.storage import locks
 from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
@@ -293,7 +293,7 @@
         prefix = f"{COUNTS_PREFIX}{window}/"
         by_node = dict(self.received.get(window, {}))
         for entry in self.mirror.entries_under(prefix):
-            counts = entries.read(entry, _decode_counts) or {}
+            counts = decoding.decode_entry(entry, _decode_counts) or {}
             node = entry.key.removeprefix(prefix)
             # Both are the node's whole count; the larger one is the later.
             told = by_node.get(node, {})
--- a/tests/batches/fleets.py
+++ b/tests/batches/fleets.py
@@ -12,7 +12,7 @@
 from kingcupscale.fakes import virtualtime
 from kingcupscale.peering import calls
 from kingcupscale.peering import relay
-from kingcupscale.storage import detour
+from kingcupscale.storage import fallback
 from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 from tests.storage import test_relay
@@ -121,7 +121,7 @@
         )
         self.book = books.Book(
             self.mirror,
-            detour.DetourStore(fleet.store, self._commit_elsewhere),
+            fallback.FallbackStore(fleet.store, self._commit_through_peer),
             clock,
             1 << 16,
             self._fetch_copy,
@@ -138,7 +138,7 @@
     def _pause_s(self):
         return self.fleet.rng.choice([0.0, 0.05, 0.3])
 
-    async def _commit_elsewhere(self, transaction):
+    async def _commit_through_peer(self, transaction):
         return None
 
     def _client(self):
