--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -534,8 +534,8 @@
     Break(
         "items go on while the store is silent for all",
         "storage/view.py",
-        "was_old = heard_at",
-        "was_old = False and heard_at",
+        "was_old = peer_answered_at",
+        "was_old = False and peer_answered_at",
         "tests.storage.test_view",
     ),
     Break(
--- a/src/kingcupscale/storage/view.py
+++ b/src/kingcupscale/storage/view.py
@@ -11,7 +11,7 @@
 SAFETY_SHARE = 0.25
 
 
-class Mirror(Protocol):
+class MirrorAge(Protocol):
     """What tells how old a node's knowledge of the store is.
 
     Attributes:
@@ -36,27 +36,27 @@
         clock: Tells the time.
         node: The node's name, for the log.
         bound_s: Seconds within which a change has to be acted on.
-        heard_at: Returns the monotonic time at which another node last
+        peer_answered_at: Returns the monotonic time at which another node last
             answered; None if no other node is known.
 
     Attributes:
-        most_age_s: Age in seconds up to which the view is current.
+        max_age_s: Age in seconds up to which the view is current.
     """
 
     def __init__(
         self,
-        mirror: Mirror,
+        mirror: MirrorAge,
         clock: clocks.Clock,
         node: str,
         bound_s: float,
-        heard_at: Callable[[], float | None],
+        peer_answered_at: Callable[[], float | None],
     ) -> None:
         self.mirror = mirror
         self.clock = clock
         self.node = node
         self.bound_s = bound_s
-        self.most_age_s = bound_s * (1 - SAFETY_SHARE)
-        self.heard_at = heard_at
+        self.max_age_s = bound_s * (1 - SAFETY_SHARE)
+        self.peer_answered_at = peer_answered_at
         self.was_current = True
 
     def age_s(self) -> float:
@@ -69,21 +69,25 @@
         While the store is silent for everybody, there are no changes.
         """
         is_current = (
-            self.mirror.age_s() <= self.most_age_s or self._is_store_silent()
+            self.mirror.age_s() <= self.max_age_s
+            or self._is_store_unreachable_for_all()
         )
         if is_current != self.was_current:
             self._note(is_current)
         return is_current
 
-    def _is_store_silent(self) -> bool:
+    def _is_store_unreachable_for_all(self) -> bool:
         """Tells whether another node has just known nothing newer either."""
         if not self.mirror.is_unreachable:
             return False
-        heard_at = self.heard_at()
-        if heard_at is None:
+        peer_answered_at = self.peer_answered_at()
+        if peer_answered_at is None:
             return True
-        was_old = heard_at - self.mirror.current_at > self.most_age_s
-        return was_old and self.clock.monotonic() - heard_at <= self.bound_s
+        was_old = peer_answered_at - self.mirror.current_at > self.max_age_s
+        return (
+            was_old
+            and self.clock.monotonic() - peer_answered_at <= self.bound_s
+        )
 
     def _note(self, is_current: bool) -> None:
         self.was_current = is_current
--- a/tests/storage/test_view.py
+++ b/tests/storage/test_view.py
@@ -39,16 +39,18 @@
     )
     @virtual.on_virtual_time
     async def test_old_view_is_told_from_a_silent_store(
-        self, _, age_s, is_unreachable, heard_s, is_current
+        self, _, age_s, is_unreachable, peer_answered_s, is_current
     ):
         await trio.sleep(NOW_S)
         now = trio.current_time()
-        heard_at = None if heard_s is None else now - heard_s
+        peer_answered_at = (
+            None if peer_answered_s is None else now - peer_answered_s
+        )
         view = views.View(
             Mirror(now - age_s, is_unreachable),
             virtualtime.VirtualClock(),
             "n",
             BOUND_S,
-            lambda: heard_at,
+            lambda: peer_answered_at,
         )
         self.assertEqual(view.is_current(), is_current)
