--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -512,10 +512,10 @@
     ),
     Break(
         "texts of two runs are not joined",
-        "peering/handover.py",
+        "peering/replication.py",
         "return is_next and self.before == digest(known)",
         "return is_next",
-        SITE + "test_copies",
+        SITE + "test_replication",
     ),
     Break(
         "nothing of an ended batch is sent by an old view",
--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -23,7 +23,7 @@
 from kingcupscale.fleet import roster
 from kingcupscale.fleet import serverclient
 from kingcupscale.gateway import forwarder
-from kingcupscale.peering import handover
+from kingcupscale.peering import replication
 from kingcupscale.storage import view as views
 
 TICK_S = 0.05
@@ -141,7 +141,7 @@
         ]
         return [*self.open_samples(), *self.leftovers]
 
-    def take_copy(self, copy: handover.Copy) -> bool:
+    def take_copy(self, copy: replication.ReplicationRequest) -> bool:
         """Takes over texts that another node has made.
 
         Returns:
@@ -151,7 +151,7 @@
         present = {sample.id: sample for sample in self.open_samples()}
         for text in copy.texts:
             known = self.texts.get(text.item, [])
-            if not text.follows(known):
+            if not text.continues(known):
                 fits = False
                 continue
             if text.events and text.events[0].number == 1:
--- a/src/kingcupscale/batches/copying.py
+++ b/src/kingcupscale/batches/copying.py
@@ -6,7 +6,7 @@
 from kingcupscale import events
 from kingcupscale.batches import coordinator as coordinators
 from kingcupscale.peering import calls
-from kingcupscale.peering import handover
+from kingcupscale.peering import replication
 
 # What a takeover loses is at most what was made within this time.
 COPY_PAUSE_S = 0.3
@@ -34,7 +34,7 @@
         self,
         coordinator: coordinators.Coordinator,
         model: str,
-        client: handover.CopyClient,
+        client: replication.ReplicationClient,
         clock: clocks.Clock,
         node: str,
         find_target: Callable[[], tuple[str, str] | None],
@@ -87,7 +87,7 @@
             self.target = name
             self._forget()
         texts = self._collect()
-        copy = handover.Copy(
+        copy = replication.ReplicationRequest(
             self.coordinator.service,
             texts,
             self.model,
@@ -98,7 +98,7 @@
             await self.client.send(address, copy)
         except calls.PeerError as e:
             self._forget()
-            if e.status != handover.STATUS_MISFIT:
+            if e.status != replication.STATUS_OUT_OF_SYNC:
                 self.note_failure(name)
             events.log(
                 events.Event.COPY_FAILED,
@@ -119,7 +119,7 @@
         self.sent = {}
         self.sent_results = set()
 
-    def _collect(self) -> list[handover.Text]:
+    def _collect(self) -> list[replication.TextUpdate]:
         texts = []
         open_items = set()
         for sample in self.coordinator.unlisted_samples(self.model):
@@ -131,12 +131,12 @@
             is_new = sample.result and sample.id not in self.sent_results
             if added or is_new:
                 texts.append(
-                    handover.Text(
+                    replication.TextUpdate(
                         sample.id,
                         added,
                         sample.result,
                         sample.record.batch.id,
-                        handover.digest(sample.events[:sent]),
+                        replication.digest(sample.events[:sent]),
                     )
                 )
                 self.sent[sample.id] = sent
--- a/src/kingcupscale/peering/handover.py
+++ b/src/kingcupscale/peering/replication.py
@@ -18,11 +18,11 @@
 PATH = "/texts"
 SEND_TIMEOUT_S = 0.5
 # Says that a text has to be sent anew, from its first event on.
-STATUS_MISFIT = 409
+STATUS_OUT_OF_SYNC = 409
 
 
 @attrs.frozen
-class Text:
+class TextUpdate:
     """What one sample has added since it was last sent.
 
     Attributes:
@@ -42,7 +42,7 @@
     batch_id: str = ""
     before: str = ""
 
-    def follows(self, known: list[serverclient.StreamEvent]) -> bool:
+    def continues(self, known: list[serverclient.StreamEvent]) -> bool:
         """Tells whether the new events go on with a known text."""
         if not self.events or self.events[0].number == 1:
             return True
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen
-class Copy:
+class ReplicationRequest:
     """Texts of one service's samples.
 
     Attributes:
@@ -72,16 +72,16 @@
     """
 
     service: str
-    texts: list[Text]
+    texts: list[TextUpdate]
     model: str = ""
     sender: str = ""
     is_last: bool = False
 
 
-class CopyClient(Protocol):
+class ReplicationClient(Protocol):
     """Sends copies to other nodes."""
 
-    async def send(self, address: str, copy: Copy) -> None:
+    async def send(self, address: str, request: ReplicationRequest) -> None:
         """Sends one copy.
 
         Raises:
@@ -90,8 +90,8 @@
         ...
 
 
-class HttpCopyClient:
-    """A ``CopyClient`` over HTTP.
+class HttpReplicationClient:
+    """A ``ReplicationClient`` over HTTP.
 
     Args:
         exchanger: Carries the calls.
@@ -100,15 +100,15 @@
     def __init__(self, exchanger: exchange.Exchanger) -> None:
         self.exchanger = exchanger
 
-    async def send(self, address: str, copy: Copy) -> None:
+    async def send(self, address: str, request: ReplicationRequest) -> None:
         """Sends one copy."""
-        await calls.post(self.exchanger, address, PATH, copy, SEND_TIMEOUT_S)
+        await calls.post(self.exchanger, address, PATH, request, SEND_TIMEOUT_S)
 
 
-def decode(body: bytes) -> Copy:
+def decode(body: bytes) -> ReplicationRequest:
     """Returns a copy as it came.
 
     Raises:
         ServiceError: ``BODY_INVALID``.
     """
-    return calls.decode(body, Copy)
+    return calls.decode(body, ReplicationRequest)
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -25,10 +25,10 @@
 from kingcupscale.gateway import forwarder
 from kingcupscale.peering import commits
 from kingcupscale.peering import counts
-from kingcupscale.peering import handover
 from kingcupscale.peering import loads
 from kingcupscale.peering import pace
 from kingcupscale.peering import relay
+from kingcupscale.peering import replication
 from kingcupscale.storage import changelog
 from kingcupscale.storage import fallback
 from kingcupscale.storage import locks
@@ -204,8 +204,8 @@
         """Answers another node."""
         if request.path == commits.PATH:
             return await commits.answer(self.surroundings.store, request)
-        if request.path == handover.PATH:
-            return self._take_copy(handover.decode(request.body))
+        if request.path == replication.PATH:
+            return self._take_copy(replication.decode(request.body))
         if request.path == counts.PATH:
             return self.telling.answer(request)
         if request.path == loads.PATH:
@@ -213,7 +213,9 @@
             return message.Response(200)
         return await self.relay(request)
 
-    def _take_copy(self, copy: handover.Copy) -> message.Response:
+    def _take_copy(
+        self, copy: replication.ReplicationRequest
+    ) -> message.Response:
         """Takes over texts, and the samples of a node that stops."""
         duty = self.services.get(copy.service)
         fits = duty is None or duty.coordinator.take_copy(copy)
@@ -221,7 +223,7 @@
         if model is not None:
             model.note_heard(copy.sender)
         if not fits:
-            return message.Response(handover.STATUS_MISFIT)
+            return message.Response(replication.STATUS_OUT_OF_SYNC)
         if not copy.is_last:
             return message.Response(200)
         if model is None or self.is_draining:
--- a/tests/platform/test_copies.py
+++ b/tests/platform/test_replication.py
@@ -6,7 +6,7 @@
 import trio
 
 from kingcupscale.fleet import serverclient
-from kingcupscale.peering import handover
+from kingcupscale.peering import replication
 from tests import virtual
 from tests.platform import standin
 
@@ -18,7 +18,7 @@
     ]
 
 
-class CopyTest(unittest.TestCase):
+class ReplicationTest(unittest.TestCase):
     @parameterized.parameterized.expand(
         [
             ("goes_on", _events(1, 5, "a"), "a", True),
@@ -37,11 +37,11 @@
             coordinator = runtime.services["engines"].coordinator
             coordinator.texts["i1"] = list(known)
             events = _events(6, 8, maker)
-            before = handover.digest(_events(1, 5, maker))
+            before = replication.digest(_events(1, 5, maker))
             if not maker:
                 events, before = _events(1, 8, "c"), ""
-            text = handover.Text("i1", events, before=before)
-            copy = handover.Copy("engines", [text])
+            text = replication.TextUpdate("i1", events, before=before)
+            copy = replication.ReplicationRequest("engines", [text])
             self.assertEqual(coordinator.take_copy(copy), fits)
             expected = known
             if fits:
