--- a/src/kingcupscale/leading.py
+++ b/src/kingcupscale/leading.py
@@ -12,7 +12,7 @@
 from kingcupscale.batches import retention
 from kingcupscale.capacity import fleetsize
 from kingcupscale.peering import calls
-from kingcupscale.peering import loads
+from kingcupscale.peering import weightloads
 from kingcupscale.storage import locks
 from kingcupscale.storage import store as stores
 
@@ -110,7 +110,7 @@
         retention_s = self.runtime.settings.bounds.retention_s
         await self.retention.forget_older_than(retention_s + RETENTION_SLACK_S)
 
-    def _tell(self, state: loads.LoadState) -> None:
+    def _tell(self, state: weightloads.WeightLoadState) -> None:
         """Takes over a load's state and passes it on to the model's node."""
         self.runtime.take_load(state)
         peers = self.runtime.peers
@@ -119,7 +119,9 @@
         if address and self.nursery is not None:
             self.nursery.start_soon(self._send, address, state)
 
-    async def _send(self, address: str, state: loads.LoadState) -> None:
+    async def _send(
+        self, address: str, state: weightloads.WeightLoadState
+    ) -> None:
         try:
             await self.runtime.surroundings.loads.send(address, state)
         except calls.PeerError as e:
--- a/src/kingcupscale/peering/pace.py
+++ b/src/kingcupscale/peering/polling.py
@@ -7,19 +7,21 @@
 """
 
 # Shortest pause of a node that nobody waits at, in seconds.
-PAUSE_LEAST_S = 0.35
+MIN_POLL_INTERVAL_S = 0.35
 # Answers that a followed node gives such nodes, all together, in a second.
-ANSWERS_A_SECOND = 60.0
+MAX_IDLE_POLLS_PER_S = 60.0
 # A change has to be in force everywhere in time, whatever the fleet's size.
-APPLY_SHARE = 0.25
+MAX_SHARE_OF_APPLY_TIME = 0.25
 
 
-def idle_pause_s(nodes: int, apply_s: float) -> float:
+def idle_poll_interval_s(nodes: int, apply_s: float) -> float:
     """Returns the pause between two questions of a node that needs nothing.
 
     Args:
         nodes: How many nodes there are.
         apply_s: Seconds within which a configuration must be in force.
     """
-    most_s = max(PAUSE_LEAST_S, APPLY_SHARE * apply_s)
-    return min(most_s, max(PAUSE_LEAST_S, nodes / ANSWERS_A_SECOND))
+    max_interval_s = max(MIN_POLL_INTERVAL_S, MAX_SHARE_OF_APPLY_TIME * apply_s)
+    return min(
+        max_interval_s, max(MIN_POLL_INTERVAL_S, nodes / MAX_IDLE_POLLS_PER_S)
+    )
--- a/src/kingcupscale/peering/loads.py
+++ b/src/kingcupscale/peering/weightloads.py
@@ -12,7 +12,7 @@
 
 
 @attrs.frozen
-class LoadState:
+class WeightLoadState:
     """How the load of a weight version on an engine stands.
 
     Attributes:
@@ -31,10 +31,10 @@
     loading_s: float = 0.0
 
 
-class LoadClient(Protocol):
+class WeightLoadClient(Protocol):
     """Sends states to other nodes."""
 
-    async def send(self, address: str, state: LoadState) -> None:
+    async def send(self, address: str, state: WeightLoadState) -> None:
         """Sends one state.
 
         Raises:
@@ -43,8 +43,8 @@
         ...
 
 
-class HttpLoadClient:
-    """A ``LoadClient`` over HTTP.
+class HttpWeightLoadClient:
+    """A ``WeightLoadClient`` over HTTP.
 
     Args:
         exchanger: Carries the calls.
@@ -53,15 +53,15 @@
     def __init__(self, exchanger: exchange.Exchanger) -> None:
         self.exchanger = exchanger
 
-    async def send(self, address: str, state: LoadState) -> None:
+    async def send(self, address: str, state: WeightLoadState) -> None:
         """Sends one state."""
         await calls.post(self.exchanger, address, PATH, state, SEND_TIMEOUT_S)
 
 
-def decode(body: bytes) -> LoadState:
+def decode(body: bytes) -> WeightLoadState:
     """Returns a state as it came.
 
     Raises:
         ServiceError: ``BODY_INVALID``.
     """
-    return calls.decode(body, LoadState)
+    return calls.decode(body, WeightLoadState)
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -25,10 +25,10 @@
 from kingcupscale.gateway import forwarder
 from kingcupscale.peering import commits
 from kingcupscale.peering import counts
-from kingcupscale.peering import loads
-from kingcupscale.peering import pace
+from kingcupscale.peering import polling
 from kingcupscale.peering import relay
 from kingcupscale.peering import replication
+from kingcupscale.peering import weightloads
 from kingcupscale.storage import changelog
 from kingcupscale.storage import fallback
 from kingcupscale.storage import locks
@@ -208,8 +208,8 @@
             return self._take_copy(replication.decode(request.body))
         if request.path == counts.PATH:
             return self.telling.answer(request)
-        if request.path == loads.PATH:
-            self.take_load(loads.decode(request.body))
+        if request.path == weightloads.PATH:
+            self.take_load(weightloads.decode(request.body))
             return message.Response(200)
         return await self.relay(request)
 
@@ -231,7 +231,7 @@
         model.take_over(copy.sender)
         return message.Response(200)
 
-    def take_load(self, state: loads.LoadState) -> None:
+    def take_load(self, state: weightloads.WeightLoadState) -> None:
         """Takes over how a load on an engine stands."""
         server = self.roster.servers.get(state.server)
         if server is None:
@@ -323,7 +323,7 @@
         )
         if self.mirror.is_following and is_needed:
             return NEEDED_PAUSE_S
-        return pace.idle_pause_s(
+        return polling.idle_poll_interval_s(
             len(self.candidates.names()), self.settings.bounds.apply_s
         )
 
--- a/src/kingcupscale/surroundings.py
+++ b/src/kingcupscale/surroundings.py
@@ -12,9 +12,9 @@
 from kingcupscale.fleet import serverclient
 from kingcupscale.peering import commits
 from kingcupscale.peering import counts
-from kingcupscale.peering import loads
 from kingcupscale.peering import relay
 from kingcupscale.peering import replication
+from kingcupscale.peering import weightloads
 from kingcupscale.storage import store as stores
 from kingcupscale.usage import windows
 
@@ -77,7 +77,7 @@
     relay: relay.RelayClient
     commits: commits.CommitClient
     copies: replication.ReplicationClient
-    loads: loads.LoadClient
+    loads: weightloads.WeightLoadClient
     counts: counts.CountsClient
     keys: Keys
     decoders: Decoders
--- a/tests/storage/test_pace.py
+++ b/tests/storage/test_polling.py
@@ -5,13 +5,13 @@
 import parameterized
 import trio
 
-from kingcupscale.peering import pace
+from kingcupscale.peering import polling
 from kingcupscale.peering import relay
 from tests import virtual
 from tests.platform import standin
 
 
-class PaceTest(unittest.TestCase):
+class PollingTest(unittest.TestCase):
     @parameterized.parameterized.expand(
         [
             ("few", 4, 2.0, 0.35),
@@ -24,7 +24,7 @@
     def test_pause_grows_with_the_fleet_within_the_bound(
         self, _, nodes, apply_s, expected
     ):
-        found = pace.idle_pause_s(nodes, apply_s)
+        found = polling.idle_poll_interval_s(nodes, apply_s)
         self.assertAlmostEqual(found, expected)
 
     @virtual.on_virtual_time
