--- a/src/kingcupscale/fleet/peers.py
+++ b/src/kingcupscale/fleet/peers.py
@@ -147,7 +147,7 @@
             if name not in addresses or self.is_silent(name):
                 continue
             try:
-                copy = await self.client.copy(addresses[name], batch_id)
+                copy = await self.client.fetch_batch(addresses[name], batch_id)
             except calls.PeerError as e:
                 events.log(
                     events.Event.COPY_FAILED,
@@ -235,7 +235,7 @@
         asked_at = self.clock.monotonic()
         try:
             changes = await self.client.follow(address, position, interest)
-        except relay.FollowedTooLateError:
+        except relay.TooFarBehindError:
             self.silent_since.pop(name, None)
             self.not_before[name] = self.clock.monotonic() + AVOID_S
             return None
--- a/src/kingcupscale/peering/relay.py
+++ b/src/kingcupscale/peering/relay.py
@@ -28,30 +28,30 @@
 PROBE_PATH = "/alive"
 # A follower waits this long for news; an answer that takes longer than this
 # and the margin means that the other node is gone.
-WAIT_S = 0.5
-MARGIN_S = 0.3
+LONG_POLL_S = 0.5
+LONG_POLL_MARGIN_S = 0.3
 # A whole batch with its texts takes a while on a narrow link.
 COPY_TIMEOUT_S = 1.0
 # A node that lives answers at once.
 PROBE_TIMEOUT_S = 0.5
 STATUS_UNKNOWN = 404
-STATUS_BEHIND = 410
+STATUS_TOO_FAR_BEHIND = 410
 # Encoded changes kept; all followers ask for the latest ones.
-ENCODED_KEPT = 100
+MAX_CACHED_ENCODINGS = 100
 # Stands for a value that the follower does not want to know.
-LEFT_OUT = b""
+OMITTED_VALUE = b""
 
 
 class RelayError(Exception):
     """A node that cannot be followed at the moment."""
 
 
-class FollowedTooLateError(RelayError):
+class TooFarBehindError(RelayError):
     """A node that no longer knows the changes that a follower lacks."""
 
 
 @attrs.frozen
-class Question:
+class FollowRequest:
     """What a follower asks.
 
     Attributes:
@@ -82,7 +82,7 @@
 
 
 @attrs.frozen
-class CopyQuestion:
+class CopyRequest:
     """Asks for all that a node knows of a batch."""
 
     batch: str
@@ -109,7 +109,7 @@
         """
         ...
 
-    async def copy(
+    async def fetch_batch(
         self, address: str, batch_id: str
     ) -> records.RecordCopy | None:
         """Returns a batch as another node knows it; None if it does not.
@@ -145,7 +145,7 @@
         interest: interests.Interest,
     ) -> changelog.Changes:
         """Returns changes past a position, waiting for the first wanted one."""
-        question = Question(
+        follow_request = FollowRequest(
             position.log,
             position.number,
             position.revision,
@@ -153,21 +153,21 @@
             sorted(interest.models),
             sorted(interest.batches),
         )
-        timeout_s = WAIT_S + MARGIN_S
+        timeout_s = LONG_POLL_S + LONG_POLL_MARGIN_S
         try:
             body = await calls.post(
-                self.exchanger, address, PATH, question, timeout_s
+                self.exchanger, address, PATH, follow_request, timeout_s
             )
         except calls.PeerError as e:
-            if e.status == STATUS_BEHIND:
-                raise FollowedTooLateError(f"too far behind {address}") from e
+            if e.status == STATUS_TOO_FAR_BEHIND:
+                raise TooFarBehindError(f"too far behind {address}") from e
             raise RelayError(e.reason) from e
         try:
             return _decode(body)
         except (ValueError, KeyError, TypeError) as e:
             raise RelayError(f"unreadable answer: {e!r}") from e
 
-    async def copy(
+    async def fetch_batch(
         self, address: str, batch_id: str
     ) -> records.RecordCopy | None:
         """Returns a batch as another node knows it; None if it does not."""
@@ -176,7 +176,7 @@
                 self.exchanger,
                 address,
                 COPY_PATH,
-                CopyQuestion(batch_id),
+                CopyRequest(batch_id),
                 COPY_TIMEOUT_S,
             )
         except calls.PeerError as e:
@@ -192,7 +192,7 @@
         )
 
 
-class BatchesKnown(Protocol):
+class BatchIndex(Protocol):
     """What a node knows of the batches that followers ask for."""
 
     records: dict[str, records.Record]
@@ -220,41 +220,46 @@
         book: The batches.
     """
 
-    def __init__(self, mirror: mirrors.StoreMirror, book: BatchesKnown) -> None:
+    def __init__(self, mirror: mirrors.StoreMirror, book: BatchIndex) -> None:
         self.mirror = mirror
         self.book = book
-        self.encoded: dict[tuple[str, int], bytes] = {}
+        self.encoding_cache: dict[tuple[str, int], bytes] = {}
 
     async def __call__(self, request: message.Request) -> message.Response:
         """Answers a follower."""
         if request.path == PROBE_PATH:
             return message.Response(200)
         if request.path == COPY_PATH:
-            return await self._copy(calls.decode(request.body, CopyQuestion))
-        question = calls.decode(request.body, Question)
-        position, interest = question.position(), question.interest()
+            return await self._serve_batch(
+                calls.decode(request.body, CopyRequest)
+            )
+        follow_request = calls.decode(request.body, FollowRequest)
+        position, interest = (
+            follow_request.position(),
+            follow_request.interest(),
+        )
         if self.mirror.current_at < 0:
-            return message.Response(STATUS_BEHIND)
+            return message.Response(STATUS_TOO_FAR_BEHIND)
         asked_at = self.mirror.clock.monotonic()
-        with trio.move_on_after(WAIT_S):
-            await self._wait_for_news(position, interest)
+        with trio.move_on_after(LONG_POLL_S):
+            await self._wait_for_wanted_change(position, interest)
         # Read after the wait: a change may have come as it ended, and the
         # position that is told must not pass it.
         found = self.mirror.log.since(position)
-        if found is None or any(self._lacks(e, interest) for e in found):
-            return message.Response(STATUS_BEHIND)
+        if found is None or any(self._lacks_value(e, interest) for e in found):
+            return message.Response(STATUS_TOO_FAR_BEHIND)
         return message.Response(
             200,
             {"content-type": "application/json"},
             self._encode(found, interest, asked_at - self.mirror.current_at),
         )
 
-    async def _copy(self, question: CopyQuestion) -> message.Response:
-        record = self.book.records.get(question.batch)
+    async def _serve_batch(self, copy_request: CopyRequest) -> message.Response:
+        record = self.book.records.get(copy_request.batch)
         if record is None and not self.mirror.is_following:
             # The others ask here, so that one node reads it for all of them.
             record = await self.book.load(
-                question.batch, is_read=True, asks_nodes=False
+                copy_request.batch, is_read=True, asks_nodes=False
             )
         if record is None or not record.is_current:
             return message.Response(STATUS_UNKNOWN)
@@ -264,19 +269,21 @@
             calls.encode(record.copy(self.mirror.revision)),
         )
 
-    async def _wait_for_news(
+    async def _wait_for_wanted_change(
         self, position: changelog.Position, interest: interests.Interest
     ) -> None:
         """Waits for a change that the follower wants, or that is lost."""
-        looked = position
+        scanned_to = position
         while True:
-            found = self.mirror.log.since(looked)
+            found = self.mirror.log.since(scanned_to)
             if found is None or any(
                 self._is_wanted(e, interest) for e in found
             ):
                 return
             log = self.mirror.log
-            looked = changelog.Position(log.id, log.number, looked.revision)
+            scanned_to = changelog.Position(
+                log.id, log.number, scanned_to.revision
+            )
             await self.mirror.changed.wait()
 
     def _is_wanted(
@@ -289,10 +296,12 @@
         model = self.book.model_of(batch_id)
         return model is None or interest.includes(batch_id, model)
 
-    def _lacks(self, entry: stores.Entry, interest: interests.Interest) -> bool:
+    def _lacks_value(
+        self, entry: stores.Entry, interest: interests.Interest
+    ) -> bool:
         """Tells whether a value is wanted that this node was not told."""
         return (
-            entry.value == LEFT_OUT
+            entry.value == OMITTED_VALUE
             and records.batch_of(entry.key) is not None
             and self._is_wanted(entry, interest)
         )
@@ -318,19 +327,19 @@
         self, entry: stores.Entry, interest: interests.Interest
     ) -> orjson.Fragment | list[str | int | None]:
         if entry.value and not self._is_wanted(entry, interest):
-            left_out = attrs.evolve(entry, value=LEFT_OUT)
-            return _fields_of(left_out)
+            omitted = attrs.evolve(entry, value=OMITTED_VALUE)
+            return _fields_of(omitted)
         return self._encode_once(entry)
 
     def _encode_once(self, entry: stores.Entry) -> orjson.Fragment:
         """Returns an entry's encoding, kept for the other followers."""
-        place = (entry.key, entry.revision)
-        encoded = self.encoded.get(place)
+        cache_key = (entry.key, entry.revision)
+        encoded = self.encoding_cache.get(cache_key)
         if encoded is None:
             encoded = orjson.dumps(_fields_of(entry))
-            self.encoded[place] = encoded
-            while len(self.encoded) > ENCODED_KEPT:
-                del self.encoded[next(iter(self.encoded))]
+            self.encoding_cache[cache_key] = encoded
+            while len(self.encoding_cache) > MAX_CACHED_ENCODINGS:
+                del self.encoding_cache[next(iter(self.encoding_cache))]
         return orjson.Fragment(encoded)
 
 
--- a/tests/batches/fleets.py
+++ b/tests/batches/fleets.py
@@ -162,7 +162,7 @@
         if self.fleet.leaders() == [self]:
             return None
         try:
-            return await self._client().copy("n", batch_id)
+            return await self._client().fetch_batch("n", batch_id)
         except calls.PeerError:
             return None
 
--- a/tests/storage/test_relay.py
+++ b/tests/storage/test_relay.py
@@ -62,7 +62,7 @@
         async def change():
             for revision in range(1, 41):
                 # Most changes come just as a wait ends.
-                await trio.sleep(relay.WAIT_S * rng.choice([0.5, 1, 1, 1]))
+                await trio.sleep(relay.LONG_POLL_S * rng.choice([0.5, 1, 1, 1]))
                 mirror.apply(stores.Entry("key", b"v", revision, 1))
                 mirror.revision = revision
                 mirror.notify_changed()
