--- a/src/kingcupscale/configuration/spreading.py
+++ b/src/kingcupscale/configuration/spreading.py
@@ -68,8 +68,8 @@
         self.rng = rng
         self.store_version = 0
         gossip_loop.passengers.append(self)
-        service.offer(transport.PULL_CHANGES, self._answer_pull)
-        service.offer(transport.PUSH_CHANGES, self._answer_push)
+        service.register(transport.PULL_CHANGES, self._answer_pull)
+        service.register(transport.PUSH_CHANGES, self._answer_push)
 
     def load(self, message: peer_pb2.Gossip) -> None:
         """Writes the revision, its confirmation and the short lists."""
--- a/src/kingcupscale/peering/commits.py
+++ b/src/kingcupscale/peering/commits.py
@@ -12,7 +12,7 @@
 
 PATH = "/commit"
 TIMEOUT_S = 1.5
-STATUS_NOT_DONE = 503
+STATUS_NOT_COMMITTED = 503
 STATUS_UNKNOWN = 504
 
 
@@ -61,11 +61,11 @@
             )
             return calls.decode_answer(body, Committed).revision
         except calls.PeerError as e:
-            may_have_run = e.request_left and e.status != STATUS_NOT_DONE
+            may_have_run = e.request_left and e.status != STATUS_NOT_COMMITTED
             raise stores.StoreError(e.reason, may_have_run) from e
 
 
-async def answer(
+async def handle(
     store: stores.Store, request: message.Request
 ) -> message.Response:
     """Writes for another node.
@@ -78,10 +78,10 @@
     try:
         revision = await store.commit(transaction)
     except stores.LeaseEndedError:
-        return message.Response(STATUS_NOT_DONE)
+        return message.Response(STATUS_NOT_COMMITTED)
     except stores.StoreError as e:
         events.log(events.Event.STORE_FAILED, reason=e.reason, for_peer=True)
-        status = STATUS_UNKNOWN if e.may_have_run else STATUS_NOT_DONE
+        status = STATUS_UNKNOWN if e.may_have_run else STATUS_NOT_COMMITTED
         return message.Response(status)
     return message.Response(
         200,
--- a/src/kingcupscale/peering/gossip.py
+++ b/src/kingcupscale/peering/gossip.py
@@ -87,8 +87,8 @@
         self.passengers: list[Passenger] = []
         self.ticks = 0
         self.round: list[str] = []
-        service.offer(transport.GOSSIP, self._answer)
-        service.offer(transport.PROBE, self._probe_for)
+        service.register(transport.GOSSIP, self._answer)
+        service.register(transport.PROBE, self._probe_for)
 
     async def run(self) -> None:
         """Probes one member at every tick until cancelled."""
--- a/src/kingcupscale/peering/transport.py
+++ b/src/kingcupscale/peering/transport.py
@@ -61,6 +61,6 @@
     def __init__(self) -> None:
         self.handlers: dict[str, Handler] = {}
 
-    def offer(self, method: Method, handler: Handler) -> None:
+    def register(self, method: Method, handler: Handler) -> None:
         """Answers a method with a handler."""
         self.handlers[method.name] = handler
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -203,7 +203,7 @@
     async def answer_peer(self, request: message.Request) -> message.Response:
         """Answers another node."""
         if request.path == commits.PATH:
-            return await commits.answer(self.surroundings.store, request)
+            return await commits.handle(self.surroundings.store, request)
         if request.path == replication.PATH:
             return self._take_copy(replication.decode(request.body))
         if request.path == counts.PATH:
--- a/src/kingcupscale/storage/changelog.py
+++ b/src/kingcupscale/storage/changelog.py
@@ -9,8 +9,8 @@
 
 # Changes kept, and the bytes of their values; a node that is further behind
 # reads from the store.
-CHANGES_KEPT = 3000
-BYTES_KEPT = 4_000_000
+MAX_CHANGES = 3000
+MAX_BYTES = 4_000_000
 
 
 @attrs.frozen
@@ -75,7 +75,7 @@
         self.number += 1
         self.changes.append((self.number, entry))
         self.size += len(entry.value or b"")
-        while len(self.changes) > CHANGES_KEPT or self.size > BYTES_KEPT:
+        while len(self.changes) > MAX_CHANGES or self.size > MAX_BYTES:
             _, dropped = self.changes.popleft()
             self.size -= len(dropped.value or b"")
             self.complete_from = max(self.complete_from, dropped.revision)
--- a/src/kingcupscale/usage/copying.py
+++ b/src/kingcupscale/usage/copying.py
@@ -36,8 +36,8 @@
         self.peers = peers
         self.clock = clock
         self.known: dict[str, dict[counter.Cell, counter.Totals]] = {}
-        service.offer(transport.COPY_USAGE, self._answer_copy)
-        service.offer(transport.PULL_USAGE, self._answer_pull)
+        service.register(transport.COPY_USAGE, self._answer_copy)
+        service.register(transport.PULL_USAGE, self._answer_pull)
 
     async def _answer_copy(self, request: peer_pb2.Usage) -> peer_pb2.Empty:
         self.counters.merge(codec.decode(counter.Copy, request.counters))
--- a/tests/storage/test_mirror.py
+++ b/tests/storage/test_mirror.py
@@ -99,8 +99,8 @@
         log = changelog.ChangeLog()
         leader, follower = {}, {}
         position = changelog.Position("", 0, 0)
-        kept = changelog.CHANGES_KEPT
-        changelog.CHANGES_KEPT = most_kept
+        kept = changelog.MAX_CHANGES
+        changelog.MAX_CHANGES = most_kept
         try:
             for revision in range(1, 40):
                 key = rng.choice("abc")
@@ -119,7 +119,7 @@
                 if rng.random() < 0.1:
                     log.restart(revision)
         finally:
-            changelog.CHANGES_KEPT = kept
+            changelog.MAX_CHANGES = kept
 
     def test_far_behind_is_told_so(self):
         log = changelog.ChangeLog()
