--- a/src/kingcupscale/directives.py
+++ b/src/kingcupscale/clusterstate.py
@@ -2,16 +2,16 @@
 
 import functools
 
+from kingcupscale import dependencies
 from kingcupscale import events
-from kingcupscale import surroundings
 from kingcupscale.fleet import catalogue
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.storage import decoding
 from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 
 
-class Directives:
+class ClusterState:
     """Follows the configuration, the servers' entries and named versions.
 
     What makes no sense is logged and changes nothing; nothing goes back.
@@ -24,21 +24,21 @@
 
     Attributes:
         catalogue: The configuration in force; None before the first.
-        named_versions: Newest weight version by model.
+        target_versions: Newest weight version by model.
     """
 
     def __init__(
         self,
         mirror: mirrors.StoreMirror,
-        servers: roster.Roster,
-        keys: surroundings.Keys,
-        decoders: surroundings.Decoders,
+        servers: registry.ServerRegistry,
+        keys: dependencies.Keys,
+        decoders: dependencies.Decoders,
     ) -> None:
         self.servers = servers
         self.keys = keys
         self.decoders = decoders
         self.catalogue: catalogue.Catalogue | None = None
-        self.named_versions: dict[str, int] = {}
+        self.target_versions: dict[str, int] = {}
         mirror.subscribe(keys.configuration, self._take_configuration)
         mirror.subscribe(keys.servers, self._take_server)
         mirror.subscribe(keys.versions, self._take_version)
@@ -65,15 +65,15 @@
         decode = functools.partial(self.decoders.server, server_id)
         found = decoding.decode_entry(entry, decode)
         if found is not None:
-            self.servers.enter(found)
+            self.servers.register(found)
 
     def _take_version(self, entry: stores.Entry) -> None:
         if entry.value is None:
             return
-        found = decoding.decode_entry(entry, self.decoders.named_version)
+        found = decoding.decode_entry(entry, self.decoders.target_version)
         if found is None:
             return
         model, version = found
-        if version > self.named_versions.get(model, 0):
-            self.named_versions[model] = version
+        if version > self.target_versions.get(model, 0):
+            self.target_versions[model] = version
             events.log(events.Event.VERSION_NAMED, model=model, version=version)
--- a/src/kingcupscale/platform/process.py
+++ b/src/kingcupscale/platform/process.py
@@ -9,12 +9,12 @@
 import trio
 
 from kingcupscale import clock as clocks
+from kingcupscale import dependencies
 from kingcupscale import deployment
 from kingcupscale import events
 from kingcupscale import logs
 from kingcupscale import runtime as runtimes
 from kingcupscale import settings as settings_errors
-from kingcupscale import surroundings
 from kingcupscale.operating import exposition
 from kingcupscale.peering import commits
 from kingcupscale.peering import counts
@@ -28,7 +28,7 @@
 from kingcupscale.platform import servers
 from kingcupscale.platform import settingsfile
 from kingcupscale.platform import store
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import limits
 from kingcupscale.web import message
 from kingcupscale.web import server
@@ -41,17 +41,17 @@
 PEER_BODY_BYTES = 64 * 1024 * 1024
 GC_ALLOCATIONS = 50_000
 
-KEYS = surroundings.Keys(
+KEYS = dependencies.Keys(
     names.CONFIGURATION_KEY,
     names.SERVERS_PREFIX,
     names.VERSIONS_PREFIX,
     names.RETIREMENTS_PREFIX,
     names.RETIREMENT_STATES_PREFIX,
 )
-DECODERS = surroundings.Decoders(
+DECODERS = dependencies.Decoders(
     documents.decode_catalogue,
     documents.decode_server,
-    documents.decode_named_version,
+    documents.decode_target_version,
     documents.encode_retirement_state,
 )
 
@@ -60,10 +60,10 @@
 class Exchangers:
     """What carries a node's calls, by whom they go to."""
 
-    store: exchange.Exchanger
-    servers: exchange.Exchanger
-    peers: exchange.Exchanger
-    cloud: exchange.Exchanger
+    store: httpclient.HttpClient
+    servers: httpclient.HttpClient
+    peers: httpclient.HttpClient
+    cloud: httpclient.HttpClient
 
 
 def make_runtime(
@@ -83,7 +83,7 @@
     client = cloud.PlatformCloud(exchangers.cloud, settings.cloud)
     return runtimes.Runtime(
         settings,
-        surroundings.Surroundings(
+        dependencies.Dependencies(
             store.PlatformStore(exchangers.store, settings.store),
             servers.PlatformServers(exchangers.servers),
             client,
@@ -144,10 +144,10 @@
         await _wait_for_stop(path)
         return
     exchangers = Exchangers(
-        exchange.HttpExchanger(idle_s=STORE_IDLE_S),
-        exchange.HttpExchanger(idle_s=SERVER_IDLE_S),
-        exchange.HttpExchanger(idle_s=SERVER_IDLE_S),
-        exchange.HttpExchanger(idle_s=SERVER_IDLE_S),
+        httpclient.PooledHttpClient(idle_s=STORE_IDLE_S),
+        httpclient.PooledHttpClient(idle_s=SERVER_IDLE_S),
+        httpclient.PooledHttpClient(idle_s=SERVER_IDLE_S),
+        httpclient.PooledHttpClient(idle_s=SERVER_IDLE_S),
     )
     runtime = make_runtime(
         settings, exchangers, clocks.SystemClock(), random.Random()
@@ -161,7 +161,7 @@
                 server.serve,
                 handler,
                 settings.callers,
-                runtime.limits_now,
+                runtime.current_limits,
                 runtime.stopped.wait,
                 graceful_timeout_s=settings.bounds.grace_s,
             )
@@ -175,7 +175,7 @@
         )
         await nursery.start(
             server.serve,
-            runtime.answer_peer,
+            runtime.handle_peer_request,
             settings.peers,
             own_limits,
             runtime.stopped.wait,
@@ -202,7 +202,7 @@
 
 async def _await_signal(runtime: runtimes.Runtime, path: str) -> None:
     await _wait_for_stop(path)
-    runtime.drain_asked.set()
+    runtime.drain_requested.set()
 
 
 async def _wait_for_stop(path: str) -> None:
--- a/tests/platform/serverstandin.py
+++ b/tests/platform/serverstandin.py
@@ -8,7 +8,7 @@
 
 from kingcupscale.platform import names
 from kingcupscale.web import message
-from tests.platform import storestandin
+from tests.platform import fakestore
 
 
 @attrs.define
@@ -50,7 +50,7 @@
         self.is_leaving = False
         self.born = 1
 
-    def enter(self):
+    def register(self):
         self.beats += 1
         entry = {
             "service": self.service,
@@ -75,7 +75,7 @@
     async def __call__(self, request):
         response = await self.answer(request)
         if self.is_leaving:
-            response.headers[names.LEAVING] = "1"
+            response.headers[names.SERVER_LEAVING] = "1"
         return response
 
     async def answer(self, request):
@@ -83,7 +83,7 @@
         if expected != self.id:
             return message.Response(421, {names.SERVER_ID: self.id})
         if request.path == "/report":
-            return storestandin.json_response(
+            return fakestore.json_response(
                 {
                     "stage": "mixed",
                     "models": self.models(),
@@ -94,7 +94,7 @@
         if request.path == "/order":
             return self.take_order(orjson.loads(request.body))
         if names.KEY in request.headers:
-            self.site.broken.append("a key reached a server")
+            self.site.violations.append("a key reached a server")
         return await self.run(request)
 
     def take_order(self, order):
@@ -188,7 +188,7 @@
     async def __call__(self, request):
         if self.is_down:
             return message.Response(503)
-        fence = int(request.headers[names.FENCE])
+        fence = int(request.headers[names.FENCING_TOKEN])
         holder = request.headers[names.DUTY_HOLDER]
         body = orjson.loads(request.body)
         if request.path == "/usage":
--- a/tests/platform/test_permission.py
+++ b/tests/platform/test_lease_expiry.py
@@ -8,7 +8,7 @@
 
 from kingcupscale.capacity import fleetsize
 from kingcupscale.fakes import virtualtime
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
 from kingcupscale.platform import cloud
 from kingcupscale.platform import servers
@@ -41,7 +41,7 @@
         yield message.Response(200)
 
 
-def _make_lock(clock):
+def _make_tenure(clock):
     session = locks.LeaseSession(None, clock, "n1", TTL_S)
     session.lease = 7
     session.ends_at = clock.monotonic() + TTL_S
@@ -51,25 +51,25 @@
     return duty_lock
 
 
-async def _report(exchanger, holder):
-    await cloud.PlatformCloud(exchanger, "cloud").report(5, {"a": 1}, holder)
+async def _report(http_client, holder):
+    await cloud.PlatformCloud(http_client, "cloud").report(5, {"a": 1}, holder)
 
 
-async def _scale(exchanger, holder):
+async def _scale(http_client, holder):
     order = fleetsize.Order("engines", "a", 2)
-    await cloud.PlatformCloud(exchanger, "cloud").order(order, holder)
+    await cloud.PlatformCloud(http_client, "cloud").order(order, holder)
 
 
-async def _load(exchanger, holder):
-    entry = roster.ServerEntry(
-        "e1", "engines", "e1:80", "a", roster.ServerState.READY, 4, 1
+async def _load(http_client, holder):
+    entry = registry.ServerEntry(
+        "e1", "engines", "e1:80", "a", registry.ServerState.READY, 4, 1
     )
     order = serverclient.VersionOrder("m", 2, True, holder, 0)
-    client = servers.PlatformServers(exchanger)
-    await client.order(roster.Server(entry), order)
+    client = servers.PlatformServers(http_client)
+    await client.order(registry.Server(entry), order)
 
 
-class PermissionTest(unittest.TestCase):
+class LeaseExpiryTest(unittest.TestCase):
     @parameterized.parameterized.expand(
         [
             (f"{name}_{when}", send, delay_s, leaves)
@@ -86,15 +86,15 @@
         self, _, send, delay_s, leaves
     ):
         clock = virtualtime.VirtualClock()
-        duty_lock = _make_lock(clock)
+        duty_lock = _make_tenure(clock)
         await trio.sleep(CHECKED_S)
         self.assertTrue(duty_lock.is_held())
-        exchanger = SlowExchanger(delay_s)
+        http_client = SlowExchanger(delay_s)
         failures = (
             windows.ReportError,
             fleetsize.OrderError,
             serverclient.ServerError,
         )
         with contextlib.suppress(*failures):
-            await send(exchanger, duty_lock.holder())
-        self.assertEqual(len(exchanger.left), leaves)
+            await send(http_client, duty_lock.holder())
+        self.assertEqual(len(http_client.left), leaves)
--- a/tests/platform/test_schedules.py
+++ b/tests/platform/test_schedules.py
@@ -6,10 +6,10 @@
 import parameterized
 import trio
 
-from kingcupscale import leading
+from kingcupscale import leadership
 from kingcupscale.platform import names
 from tests import virtual
-from tests.platform import standin
+from tests.platform import harness
 
 FAULT_PAUSE_S = 1.2
 # A position that was read at one node is there at all others after this.
@@ -113,7 +113,7 @@
             self.cut_from_store,
             self.cut_pair,
             self.stop_store,
-            self.forget_history,
+            self.compact_history,
         )
         for _ in range(count):
             await trio.sleep(FAULT_PAUSE_S)
@@ -128,7 +128,7 @@
         self.site.nodes.remove(node)
         self.replaced += 1
         zone = node.runtime.settings.zone
-        added = standin.Node(self.site, f"r{self.replaced}", zone)
+        added = harness.Node(self.site, f"r{self.replaced}", zone)
         self.site.nodes.append(added)
         self.site.nursery.start_soon(added.run)
         self._trouble([n.name for n in self.site.nodes], 0.0)
@@ -161,8 +161,8 @@
         await trio.sleep(2.0)
         self.site.store.is_down = False
 
-    async def forget_history(self):
-        self.site.store.forget_history()
+    async def compact_history(self):
+        self.site.store.compact()
 
 
 class ScheduleTest(unittest.TestCase):
@@ -171,7 +171,7 @@
             (f"{kind}_{seed}", nodes, seed)
             for kind, nodes in (
                 ("small", 3),
-                ("spread", leading.SPREAD_FROM_NODES + 1),
+                ("spread", leadership.MIN_NODES_TO_DISTRIBUTE + 1),
             )
             for seed in range(1, 9)
         ]
@@ -179,7 +179,7 @@
     @virtual.on_virtual_time
     async def test_batches_end_whole_and_read_alike(self, _, nodes, seed):
         async with trio.open_nursery() as nursery:
-            site = standin.Site(nursery, nodes=nodes)
+            site = harness.Site(nursery, nodes=nodes)
             await site.start()
             for server in site.servers.values():
                 server.length = 20
@@ -203,5 +203,5 @@
                     self.assertEqual(len(results), page["total"])
             self.assertLess(len(schedule.totals), len(schedule.seen))
             self.assertEqual(schedule.problems, [])
-            self.assertEqual(site.broken, [])
+            self.assertEqual(site.violations, [])
             nursery.cancel_scope.cancel()
--- a/tests/storage/test_polling.py
+++ b/tests/storage/test_polling.py
@@ -8,7 +8,7 @@
 from kingcupscale.peering import polling
 from kingcupscale.peering import relay
 from tests import virtual
-from tests.platform import standin
+from tests.platform import harness
 
 
 class PollingTest(unittest.TestCase):
@@ -30,7 +30,7 @@
     @virtual.on_virtual_time
     async def test_followed_node_answers_a_bounded_number(self):
         """Load pattern: servers change their entries all the time."""
-        async with standin.opened(nodes=60) as site:
+        async with harness.launch(nodes=60) as site:
             leader = site.holder().runtime
             answers = 0
             follow = leader.relay.__call__
@@ -43,12 +43,12 @@
             leader.relay = count
             for _ in range(100):
                 for server in site.servers.values():
-                    server.enter()
+                    server.register()
                 await trio.sleep(0.1)
             self.assertLess(answers / 10, 130)
-            configuration = standin.make_configuration(version=9)
+            configuration = harness.make_configuration(version=9)
             site.write_configuration(configuration)
             await trio.sleep(1.2)
             for node in site.nodes:
-                known = node.runtime.catalogue_now()
+                known = node.runtime.current_catalogue()
                 self.assertEqual(known.version, 9)
