--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -23,7 +23,7 @@
 from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
 from kingcupscale.gateway import forwarder
-from kingcupscale.peering import replication
+from kingcupscale.peering import handover
 from kingcupscale.storage import view as views
 
 TICK_S = 0.05
@@ -143,7 +143,7 @@
         ]
         return [*self.open_samples(), *self.released_samples]
 
-    def apply_copy(self, copy: replication.ReplicationRequest) -> bool:
+    def apply_copy(self, copy: handover.ReplicationRequest) -> bool:
         """Takes over texts that another node has made.
 
         Returns:
--- a/src/kingcupscale/batches/copying.py
+++ b/src/kingcupscale/batches/copying.py
@@ -6,7 +6,7 @@
 from kingcupscale import events
 from kingcupscale.batches import coordinator as coordinators
 from kingcupscale.peering import calls
-from kingcupscale.peering import replication
+from kingcupscale.peering import handover
 
 # What a takeover loses is at most what was made within this time.
 COPY_PAUSE_S = 0.3
@@ -34,7 +34,7 @@
         self,
         coordinator: coordinators.Coordinator,
         model: str,
-        client: replication.ReplicationClient,
+        client: handover.CopyClient,
         clock: clocks.Clock,
         node: str,
         find_target: Callable[[], tuple[str, str] | None],
@@ -87,7 +87,7 @@
             self.target = name
             self._forget()
         texts = self._collect()
-        copy = replication.ReplicationRequest(
+        copy = handover.ReplicationRequest(
             self.coordinator.service,
             texts,
             self.model,
@@ -98,7 +98,7 @@
             await self.client.send(address, copy)
         except calls.PeerError as e:
             self._forget()
-            if e.status != replication.STATUS_OUT_OF_SYNC:
+            if e.status != handover.STATUS_OUT_OF_SYNC:
                 self.note_failure(name)
             events.log(
                 events.Event.COPY_FAILED,
@@ -119,7 +119,7 @@
         self.sent = {}
         self.sent_results = set()
 
-    def _collect(self) -> list[replication.TextUpdate]:
+    def _collect(self) -> list[handover.TextUpdate]:
         texts = []
         open_items = set()
         for sample in self.coordinator.unlisted_samples(self.model):
@@ -131,12 +131,12 @@
             is_new = sample.result and sample.id not in self.sent_results
             if added or is_new:
                 texts.append(
-                    replication.TextUpdate(
+                    handover.TextUpdate(
                         sample.id,
                         added,
                         sample.result,
                         sample.record.batch.id,
-                        replication.digest(sample.events[:sent]),
+                        handover.digest(sample.events[:sent]),
                     )
                 )
                 self.sent[sample.id] = sent
--- a/src/kingcupscale/leadership.py
+++ b/src/kingcupscale/leadership.py
@@ -17,7 +17,7 @@
 from kingcupscale.batches import retention
 from kingcupscale.capacity import fleetsize
 from kingcupscale.peering import calls
-from kingcupscale.peering import weightloads
+from kingcupscale.peering import loads
 from kingcupscale.storage import locks
 from kingcupscale.storage import store as stores
 
@@ -118,7 +118,7 @@
         retention_s = self.runtime.settings.bounds.retention_s
         await self.retention.forget_older_than(retention_s + RETENTION_MARGIN_S)
 
-    def _publish_load_state(self, state: weightloads.WeightLoadState) -> None:
+    def _publish_load_state(self, state: loads.WeightLoadState) -> None:
         """Applies a load's state here and sends it to the model's node."""
         self.runtime.apply_load_state(state)
         peers = self.runtime.peers
@@ -128,7 +128,7 @@
             self.nursery.start_soon(self._send_load_state, address, state)
 
     async def _send_load_state(
-        self, address: str, state: weightloads.WeightLoadState
+        self, address: str, state: loads.WeightLoadState
     ) -> None:
         try:
             await self.runtime.dependencies.loads.send(address, state)
--- a/src/kingcupscale/peering/replication.py
+++ b/src/kingcupscale/peering/handover.py
@@ -78,7 +78,7 @@
     is_last: bool = False
 
 
-class ReplicationClient(Protocol):
+class CopyClient(Protocol):
     """Sends copies to other nodes."""
 
     async def send(self, address: str, request: ReplicationRequest) -> None:
@@ -90,8 +90,8 @@
         ...
 
 
-class HttpReplicationClient:
-    """A ``ReplicationClient`` over HTTP.
+class HttpCopyClient:
+    """A ``CopyClient`` over HTTP.
 
     Args:
         http_client: Carries the calls.
--- a/src/kingcupscale/peering/weightloads.py
+++ b/src/kingcupscale/peering/loads.py
@@ -31,7 +31,7 @@
     loading_s: float = 0.0
 
 
-class WeightLoadClient(Protocol):
+class LoadClient(Protocol):
     """Sends states to other nodes."""
 
     async def send(self, address: str, state: WeightLoadState) -> None:
@@ -43,8 +43,8 @@
         ...
 
 
-class HttpWeightLoadClient:
-    """A ``WeightLoadClient`` over HTTP.
+class HttpLoadClient:
+    """A ``LoadClient`` over HTTP.
 
     Args:
         http_client: Carries the calls.
--- a/src/kingcupscale/platform/process.py
+++ b/src/kingcupscale/platform/process.py
@@ -18,9 +18,9 @@
 from kingcupscale.operating import exposition
 from kingcupscale.peering import commits
 from kingcupscale.peering import counts
+from kingcupscale.peering import handover
+from kingcupscale.peering import loads
 from kingcupscale.peering import relay
-from kingcupscale.peering import replication
-from kingcupscale.peering import weightloads
 from kingcupscale.platform import cloud
 from kingcupscale.platform import documents
 from kingcupscale.platform import frontend
@@ -92,8 +92,8 @@
             rng,
             relay.HttpRelayClient(exchangers.peers),
             commits.HttpCommitClient(exchangers.peers),
-            replication.HttpReplicationClient(exchangers.peers),
-            weightloads.HttpWeightLoadClient(exchangers.peers),
+            handover.HttpCopyClient(exchangers.peers),
+            loads.HttpLoadClient(exchangers.peers),
             counts.HttpCountsClient(exchangers.peers),
             KEYS,
             DECODERS,
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -25,10 +25,10 @@
 from kingcupscale.gateway import forwarder
 from kingcupscale.peering import commits
 from kingcupscale.peering import counts
+from kingcupscale.peering import handover
+from kingcupscale.peering import loads
 from kingcupscale.peering import polling
 from kingcupscale.peering import relay
-from kingcupscale.peering import replication
-from kingcupscale.peering import weightloads
 from kingcupscale.storage import changelog
 from kingcupscale.storage import fallback
 from kingcupscale.storage import locks
@@ -210,17 +210,17 @@
         """Returns the response to a request of another node."""
         if request.path == commits.PATH:
             return await commits.handle(self.dependencies.store, request)
-        if request.path == replication.PATH:
-            return self._apply_copy(replication.decode(request.body))
+        if request.path == handover.PATH:
+            return self._apply_copy(handover.decode(request.body))
         if request.path == counts.PATH:
             return self.telling.answer(request)
-        if request.path == weightloads.PATH:
-            self.apply_load_state(weightloads.decode(request.body))
+        if request.path == loads.PATH:
+            self.apply_load_state(loads.decode(request.body))
             return message.Response(200)
         return await self.relay(request)
 
     def _apply_copy(
-        self, copy: replication.ReplicationRequest
+        self, copy: handover.ReplicationRequest
     ) -> message.Response:
         """Stores copied texts; the last copy also hands the samples over."""
         duty = self.services.get(copy.service)
@@ -231,7 +231,7 @@
         if model is not None:
             model.record_copy(copy.sender)
         if not fits:
-            return message.Response(replication.STATUS_OUT_OF_SYNC)
+            return message.Response(handover.STATUS_OUT_OF_SYNC)
         if not copy.is_last:
             return message.Response(200)
         if model is None or self.is_draining:
@@ -239,7 +239,7 @@
         model.take_over(copy.sender)
         return message.Response(200)
 
-    def apply_load_state(self, state: weightloads.WeightLoadState) -> None:
+    def apply_load_state(self, state: loads.WeightLoadState) -> None:
         """Applies the state of an engine's weight load."""
         server = self.server_registry.servers.get(state.server)
         if server is None:
--- a/tests/platform/test_replication.py
+++ b/tests/platform/test_replication.py
@@ -6,7 +6,7 @@
 import trio
 
 from kingcupscale.fleet import serverclient
-from kingcupscale.peering import replication
+from kingcupscale.peering import handover
 from tests import virtual
 from tests.platform import harness
 
@@ -37,11 +37,11 @@
             coordinator = runtime.services["engines"].coordinator
             coordinator.partial_texts["i1"] = list(known)
             events = _events(6, 8, maker)
-            before = replication.digest(_events(1, 5, maker))
+            before = handover.digest(_events(1, 5, maker))
             if not maker:
                 events, before = _events(1, 8, "c"), ""
-            text = replication.TextUpdate("i1", events, before=before)
-            copy = replication.ReplicationRequest("engines", [text])
+            text = handover.TextUpdate("i1", events, before=before)
+            copy = handover.ReplicationRequest("engines", [text])
             self.assertEqual(coordinator.apply_copy(copy), fits)
             expected = known
             if fits:
