--- a/src/kingcupscale/operating/exposition.py
+++ b/src/kingcupscale/operating/exposition.py
@@ -50,8 +50,8 @@
             f"duties_held {runtime.count_held_duties()}",
             f"servers_known {len(runtime.server_registry.servers)}",
             f"servers_usable {len(usable)}",
-            f"batches_known {len(runtime.book.records)}",
-            f"readers_waiting {runtime.book.readers}",
+            f"batches_known {len(runtime.batch_cache.records)}",
+            f"readers_waiting {runtime.batch_cache.waiting_readers}",
         ]
 
     def _store_calls(self) -> list[str]:
--- a/src/kingcupscale/peering/relay.py
+++ b/src/kingcupscale/peering/relay.py
@@ -111,7 +111,7 @@
 
     async def fetch_batch(
         self, address: str, batch_id: str
-    ) -> records.RecordCopy | None:
+    ) -> records.RecordSnapshot | None:
         """Returns a batch as another node knows it; None if it does not.
 
         Raises:
@@ -169,7 +169,7 @@
 
     async def fetch_batch(
         self, address: str, batch_id: str
-    ) -> records.RecordCopy | None:
+    ) -> records.RecordSnapshot | None:
         """Returns a batch as another node knows it; None if it does not."""
         try:
             body = await calls.post(
@@ -183,7 +183,7 @@
             if e.status == STATUS_UNKNOWN:
                 return None
             raise
-        return calls.decode_answer(body, records.RecordCopy)
+        return calls.decode_answer(body, records.RecordSnapshot)
 
     async def probe(self, address: str) -> None:
         """Asks a node whether it lives."""
@@ -217,12 +217,14 @@
 
     Args:
         mirror: The mirror.
-        book: The batches.
+        batch_cache: The batches.
     """
 
-    def __init__(self, mirror: mirrors.StoreMirror, book: BatchIndex) -> None:
+    def __init__(
+        self, mirror: mirrors.StoreMirror, batch_cache: BatchIndex
+    ) -> None:
         self.mirror = mirror
-        self.book = book
+        self.batch_cache = batch_cache
         self.encoding_cache: dict[tuple[str, int], bytes] = {}
 
     async def __call__(self, request: message.Request) -> message.Response:
@@ -255,10 +257,10 @@
         )
 
     async def _serve_batch(self, copy_request: CopyRequest) -> message.Response:
-        record = self.book.records.get(copy_request.batch)
+        record = self.batch_cache.records.get(copy_request.batch)
         if record is None and not self.mirror.is_following:
             # The others ask here, so that one node reads it for all of them.
-            record = await self.book.load(
+            record = await self.batch_cache.load(
                 copy_request.batch, is_read=True, asks_nodes=False
             )
         if record is None or not record.is_current:
@@ -266,7 +268,7 @@
         return message.Response(
             200,
             {"content-type": "application/json"},
-            calls.encode(record.copy(self.mirror.revision)),
+            calls.encode(record.snapshot(self.mirror.revision)),
         )
 
     async def _wait_for_wanted_change(
@@ -290,10 +292,10 @@
         self, entry: stores.Entry, interest: interests.Interest
     ) -> bool:
         """Tells whether a follower wants to know a change in full."""
-        batch_id = records.batch_of(entry.key)
+        batch_id = records.batch_id_of(entry.key)
         if batch_id is None:
             return True
-        model = self.book.model_of(batch_id)
+        model = self.batch_cache.model_of(batch_id)
         return model is None or interest.includes(batch_id, model)
 
     def _lacks_value(
@@ -302,7 +304,7 @@
         """Tells whether a value is wanted that this node was not told."""
         return (
             entry.value == OMITTED_VALUE
-            and records.batch_of(entry.key) is not None
+            and records.batch_id_of(entry.key) is not None
             and self._is_wanted(entry, interest)
         )
 
