--- a/src/kingcupscale/batches/loader.py
+++ b/src/kingcupscale/batches/loader.py
@@ -48,7 +48,7 @@
     """Moves one service's engines to the versions that trainers name.
 
     Args:
-        duty_lock: The duty of giving the service's engines orders.
+        tenure: The duty of giving the service's engines orders.
         servers: The backend servers.
         client: Calls them.
         named: Newest version by model.
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        duty_lock: locks.DutyLock,
+        tenure: locks.DutyLock,
         servers: registry.ServerRegistry,
         client: serverclient.ServerClient,
         named: dict[str, int],
@@ -68,7 +68,7 @@
         tell: Callable[[loads.WeightLoadState], None],
     ) -> None:
         self.tell = tell
-        self.duty_lock = duty_lock
+        self.tenure = tenure
         self.servers = servers
         self.client = client
         self.named = named
@@ -84,7 +84,7 @@
         now = self.clock.monotonic()
         servers = [
             server
-            for server in self.servers.list_servers(self.duty_lock.name)
+            for server in self.servers.list_servers(self.tenure.name)
             if server.is_usable(now)
             and self.not_before.get(server.id, 0.0) <= now
         ]
@@ -105,7 +105,7 @@
     def _models(self) -> dict[str, int]:
         """Returns the newest version of each model of the service."""
         configured = self.catalogue_now()
-        service = configured and configured.services.get(self.duty_lock.name)
+        service = configured and configured.services.get(self.tenure.name)
         models = service.models if service else ()
         return {model: self.named.get(model, 1) for model in models}
 
@@ -134,7 +134,7 @@
             server=server.id,
             model=load.model,
             version=load.version,
-            fence=self.duty_lock.fencing_token,
+            fence=self.tenure.fencing_token,
             outcome=str(outcome),
             loaded=is_there,
             took_s=round(self.clock.monotonic() - began_at, 3),
@@ -149,10 +149,10 @@
             load.model,
             load.version,
             self._keeps_runs(),
-            self.duty_lock.holder(),
+            self.tenure.holder(),
             load.server.sequence,
         )
-        if not self.duty_lock.is_held():
+        if not self.tenure.is_held():
             raise serverclient.ServerError("the duty is not held", False)
         outcome = await self.client.order(load.server, order)
         if outcome is serverclient.OrderOutcome.ACCEPTED:
@@ -166,7 +166,7 @@
         configured = self.catalogue_now()
         if configured is None:
             return False
-        routes = configured.routes_to(self.duty_lock.name)
+        routes = configured.routes_to(self.tenure.name)
         return not any(route.single_version for route in routes)
 
     async def _await_version(self, load: weights.Load) -> None:
--- a/src/kingcupscale/leadership.py
+++ b/src/kingcupscale/leadership.py
@@ -56,7 +56,7 @@
         deps = runtime.dependencies
         self.runtime = runtime
         self.service = service
-        self.duty_lock = locks.DutyLock(
+        self.tenure = locks.DutyLock(
             service, runtime.session, runtime.mirror, deps.clock
         )
         self.coordinator = coordinators.Coordinator(
@@ -71,7 +71,7 @@
             runtime.view,
         )
         self.loader = loaders.Loader(
-            self.duty_lock,
+            self.tenure,
             runtime.server_registry,
             deps.servers,
             runtime.cluster_state.target_versions,
@@ -80,7 +80,7 @@
             self._publish_load_state,
         )
         self.sizer = fleetsize.Sizer(
-            self.duty_lock,
+            self.tenure,
             runtime.server_registry,
             deps.provider,
             deps.clock,
@@ -104,9 +104,9 @@
                 await self._delete_expired_batches()
 
             await locks.run_while_held(
-                self.duty_lock,
+                self.tenure,
                 work,
-                lambda: rank(self.runtime, self.duty_lock.name),
+                lambda: rank(self.runtime, self.tenure.name),
                 DUTY_INTERVAL_S,
             )
 
@@ -183,7 +183,7 @@
         self.last_copy_from = ""
         self.last_copy_at = 0.0
         self.last_probe_at = 0.0
-        self.duty_lock = locks.DutyLock(
+        self.tenure = locks.DutyLock(
             model_duty_name(leader.service, model),
             runtime.session,
             runtime.mirror,
@@ -206,7 +206,7 @@
         first candidate to run them next.
         """
         node = self.runtime.settings.node
-        holder = self.runtime.peers.holder(self.duty_lock.name)
+        holder = self.runtime.peers.holder(self.tenure.name)
         others = [name for name in self._ranking() if name != holder]
         return (
             holder == node
@@ -256,9 +256,9 @@
         None if there is no other node.
         """
         peers = self.runtime.peers
-        holder = peers.holder(self.duty_lock.name)
+        holder = peers.holder(self.tenure.name)
         ranking = self._ranking()
-        if holder and not self.duty_lock.is_held():
+        if holder and not self.tenure.is_held():
             ranking = [holder, *ranking]
         return peers.successor(ranking)
 
@@ -268,7 +268,7 @@
             nursery.start_soon(self._monitor_holder)
             nursery.start_soon(self.replicator.run)
             await locks.run_while_held(
-                self.duty_lock, self._do_nothing, self._rank, DUTY_INTERVAL_S
+                self.tenure, self._do_nothing, self._rank, DUTY_INTERVAL_S
             )
 
     async def _do_nothing(self) -> None:
@@ -282,7 +282,7 @@
         """
         if self.coordinator.is_active(self.model):
             return 0
-        if is_small_fleet(self.runtime) and self.leader.duty_lock.is_held():
+        if is_small_fleet(self.runtime) and self.leader.tenure.is_held():
             return 0
         return 1 + self.runtime.candidates.position(self._ranking())
 
@@ -290,7 +290,7 @@
         """Returns the candidates, the preferred one first."""
         if is_small_fleet(self.runtime):
             return self.runtime.candidates.ranking(self.service)
-        return self.runtime.candidates.idle_ranking(self.duty_lock.name)
+        return self.runtime.candidates.idle_ranking(self.tenure.name)
 
     def _is_surplus(self) -> bool:
         """Returns whether this duty should move to a node without a duty.
@@ -307,7 +307,7 @@
             nodes.node,
             nodes.names(),
         )
-        return surplus == self.duty_lock.name
+        return surplus == self.tenure.name
 
     async def _transfer(self) -> None:
         """Transfers the samples and the duty to a node without a duty."""
@@ -319,11 +319,11 @@
             return
         self.coordinator.set_active(self.model, False)
         try:
-            await self.duty_lock.release()
+            await self.tenure.release()
         except stores.StoreError as e:
             events.log(
                 events.Event.STORE_FAILED,
-                duty=self.duty_lock.name,
+                duty=self.tenure.name,
                 reason=e.reason,
             )
 
@@ -333,8 +333,8 @@
         A planned stop hands the samples over; this node then starts no others.
         """
         while not self.runtime.is_draining:
-            holder = self.runtime.peers.holder(self.duty_lock.name)
-            if self.duty_lock.is_held():
+            holder = self.runtime.peers.holder(self.tenure.name)
+            if self.tenure.is_held():
                 self.coordinator.set_active(self.model, True)
                 if self._is_surplus():
                     await self._transfer()
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -285,11 +285,11 @@
     def count_held_duties(self) -> int:
         """Returns the number of duties that this node holds."""
         duties = [*self.services.values(), *self.models.values()]
-        return sum(duty.duty_lock.is_held() for duty in duties)
+        return sum(duty.tenure.is_held() for duty in duties)
 
     def is_leader(self) -> bool:
         """Returns whether this node leads any service."""
-        return any(d.duty_lock.is_held() for d in self.services.values())
+        return any(d.tenure.is_held() for d in self.services.values())
 
     async def _fetch_changes(
         self, position: changelog.Position
@@ -434,7 +434,7 @@
         if not self.settings.reports_usage:
             return
         await locks.run_while_held(
-            self.reporter.duty_lock,
+            self.reporter.tenure,
             self._run_usage_duty,
             lambda: leadership.rank(self, windows.DUTY),
             USAGE_INTERVAL_S,
--- a/tests/platform/test_lease_expiry.py
+++ b/tests/platform/test_lease_expiry.py
@@ -46,9 +46,9 @@
     session.lease = 7
     session.ends_at = clock.monotonic() + TTL_S
     mirror = mirrors.StoreMirror(None, clock, "n1", lambda: 0.0, None)
-    duty_lock = locks.DutyLock("duty", session, mirror, clock)
-    duty_lock.fencing_token, duty_lock.lease = 3, 7
-    return duty_lock
+    tenure = locks.DutyLock("duty", session, mirror, clock)
+    tenure.fencing_token, tenure.lease = 3, 7
+    return tenure
 
 
 async def _report(http_client, holder):
@@ -86,9 +86,9 @@
         self, _, send, delay_s, leaves
     ):
         clock = virtualtime.VirtualClock()
-        duty_lock = _make_tenure(clock)
+        tenure = _make_tenure(clock)
         await trio.sleep(CHECKED_S)
-        self.assertTrue(duty_lock.is_held())
+        self.assertTrue(tenure.is_held())
         http_client = SlowExchanger(delay_s)
         failures = (
             windows.ReportError,
@@ -96,5 +96,5 @@
             serverclient.ServerError,
         )
         with contextlib.suppress(*failures):
-            await send(http_client, duty_lock.holder())
+            await send(http_client, tenure.holder())
         self.assertEqual(len(http_client.left), leaves)
