--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -156,7 +156,7 @@
         ]
         return [*self.open_samples(), *self.released_samples]
 
-    def apply_copy(self, copy: handover.Copy) -> bool:
+    def apply_copy(self, copy: handover.ReplicationRequest) -> bool:
         """Applies a copy of another node's texts and results.
 
         Returns:
@@ -166,7 +166,7 @@
         open_samples = {sample.id: sample for sample in self.open_samples()}
         for text in copy.texts:
             known = self.partial_texts.get(text.item, [])
-            if not text.follows(known):
+            if not text.continues(known):
                 fits = False
                 continue
             if text.events and text.events[0].number == 1:
--- a/src/kingcupscale/capacity/fleetsize.py
+++ b/src/kingcupscale/capacity/fleetsize.py
@@ -16,7 +16,7 @@
 from kingcupscale import events
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import registry
-from kingcupscale.storage import tenure as tenures
+from kingcupscale.storage import locks
 
 # Pause after a refused order before the same zone is asked again.
 REFUSED_PAUSE_S = 2.0
@@ -59,7 +59,7 @@
 class Provider(Protocol):
     """Takes orders for servers."""
 
-    async def order(self, order: Order, holder: tenures.Holder) -> OrderState:
+    async def order(self, order: Order, holder: locks.Holder) -> OrderState:
         """Orders servers.
 
         Raises:
@@ -129,7 +129,7 @@
 
     def __init__(
         self,
-        tenure: tenures.Tenure,
+        tenure: locks.DutyLock,
         servers: registry.ServerRegistry,
         provider: Provider,
         clock: clocks.Clock,
@@ -184,7 +184,7 @@
             events.log(
                 events.Event.SERVERS_ORDERED,
                 order=attrs.asdict(order),
-                fence=self.tenure.fence,
+                fence=self.tenure.fencing_token,
                 outcome=str(e),
             )
             return
@@ -196,6 +196,6 @@
         events.log(
             events.Event.SERVERS_ORDERED,
             order=attrs.asdict(order),
-            fence=self.tenure.fence,
+            fence=self.tenure.fencing_token,
             outcome=state.value,
         )
--- a/src/kingcupscale/readiness.py
+++ b/src/kingcupscale/readiness.py
@@ -7,7 +7,7 @@
 from kingcupscale import errors
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import peers
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import mirror as mirrors
 
 # Short, because another node is likely to accept what this one refuses.
 RETRY_AFTER_S = 0.5
@@ -21,7 +21,7 @@
     """Checks whether a node accepts requests and may refuse any.
 
     Args:
-        feed: The local replica of the store.
+        mirror: The local replica of the store.
         others: The other nodes.
         clock: Source of time.
         bounds: Time limits, such as for applying a configuration.
@@ -30,13 +30,13 @@
 
     def __init__(
         self,
-        feed: feeds.Feed,
+        mirror: mirrors.StoreMirror,
         others: peers.Peers,
         clock: clocks.Clock,
         bounds: deployment.Bounds,
         current_catalogue: Callable[[], catalogue.Catalogue | None],
     ) -> None:
-        self.feed = feed
+        self.mirror = mirror
         self.peers = others
         self.clock = clock
         self.bounds = bounds
@@ -59,7 +59,7 @@
         a newer configuration may allow it. Requests that it allows are still
         served: in an outage of the store, every node's configuration is old.
         """
-        age_s = self.feed.head_age_s()
+        age_s = self.mirror.essential_age_s()
         if age_s <= MAX_AGE_SHARE * self.bounds.apply_s:
             return None
         return errors.ServiceError(
@@ -76,7 +76,7 @@
         a node needs contact with other nodes to know that.
         """
         in_force_s = self.bounds.apply_s + self.bounds.apply_stretch_s
-        if self.feed.head_age_s() <= in_force_s:
+        if self.mirror.essential_age_s() <= in_force_s:
             return False
         silent_s = self.clock.monotonic() - self.peers.answered_at
         is_alone = silent_s > self.bounds.contact_s
--- a/tests/batches/test_cache.py
+++ b/tests/batches/test_cache.py
@@ -78,7 +78,7 @@
     async def test_copy_older_than_the_mirror_is_not_taken(self):
         async with fleets.opened_pair() as pair:
             record = pair.leader.batch_cache.records["b"]
-            old = record.snapshot(pair.follower.feed.revision)
+            old = record.snapshot(pair.follower.mirror.revision)
             await pair.list_one()
             await trio.sleep(1)
 
@@ -308,7 +308,7 @@
                     f"none-{number}", is_read=True
                 )
                 await trio.sleep(0.1)
-                self.assertLess(pair.follower.feed.age_s(), 2.5)
+                self.assertLess(pair.follower.mirror.age_s(), 2.5)
 
 
 class RecordTest(unittest.TestCase):
--- a/tests/platform/test_lease_expiry.py
+++ b/tests/platform/test_lease_expiry.py
@@ -12,8 +12,8 @@
 from kingcupscale.fleet import serverclient
 from kingcupscale.platform import cloud
 from kingcupscale.platform import servers
-from kingcupscale.storage import feed as feeds
-from kingcupscale.storage import tenure as tenures
+from kingcupscale.storage import locks
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.usage import windows
 from kingcupscale.web import message
 from tests import virtual
@@ -42,12 +42,12 @@
 
 
 def _make_tenure(clock):
-    session = tenures.Session(None, clock, "n1", TTL_S)
+    session = locks.LeaseSession(None, clock, "n1", TTL_S)
     session.lease = 7
     session.ends_at = clock.monotonic() + TTL_S
-    feed = feeds.Feed(None, clock, "n1", lambda: 0.0, None)
-    tenure = tenures.Tenure("duty", session, feed, clock)
-    tenure.fence, tenure.lease = 3, 7
+    mirror = mirrors.StoreMirror(None, clock, "n1", lambda: 0.0, None)
+    tenure = locks.DutyLock("duty", session, mirror, clock)
+    tenure.fencing_token, tenure.lease = 3, 7
     return tenure
 
 
--- a/tests/platform/test_copies.py
+++ b/tests/platform/test_replication.py
@@ -18,7 +18,7 @@
     ]
 
 
-class CopyTest(unittest.TestCase):
+class ReplicationTest(unittest.TestCase):
     @parameterized.parameterized.expand(
         [
             ("goes_on", _events(1, 5, "a"), "a", True),
@@ -40,8 +40,8 @@
             before = handover.digest(_events(1, 5, maker))
             if not maker:
                 events, before = _events(1, 8, "c"), ""
-            text = handover.Text("i1", events, before=before)
-            copy = handover.Copy("engines", [text])
+            text = handover.TextUpdate("i1", events, before=before)
+            copy = handover.ReplicationRequest("engines", [text])
             self.assertEqual(coordinator.apply_copy(copy), fits)
             expected = known
             if fits:
