--- a/src/kingcupscale/batches/generation.py
+++ b/src/kingcupscale/batches/generation.py
@@ -89,7 +89,7 @@
         sample.discard_unusable_text(version)
         sample.begin_run()
         started_at = self.clock.monotonic()
-        before = len(sample.events)
+        resumed_events = len(sample.events)
         call = self._make_call(sample, version)
         outcome = "cancelled before its end"
         view_age_s = self.guard.view.age_s()
@@ -108,12 +108,12 @@
             self._postpone(sample, FAILED_PAUSE_S)
         finally:
             self._log_run(
-                sample, server, outcome, started_at, before, view_age_s
+                sample, server, outcome, started_at, resumed_events, view_age_s
             )
         if outcome != "whole":
             return False
         server.record_success()
-        self._update_averages(sample, server, started_at, before)
+        self._update_averages(sample, server, started_at, resumed_events)
         return True
 
     @contextlib.asynccontextmanager
@@ -182,6 +182,7 @@
         server: registry.Server,
         answer: serverclient.Answer,
     ) -> None:
+        """Updates what is known of an engine that rejected a run."""
         now = self.clock.monotonic()
         model = sample.record.batch.model
         if not answer.wrong_server:
@@ -199,6 +200,7 @@
     def _handle_failure(
         self, sample: samples.Sample, answer: serverclient.Answer
     ) -> None:
+        """Counts a failure of the engine and fails a sample with too many."""
         self._postpone(sample, FAILED_PAUSE_S)
         if answer.status == 500 and answer.signature:
             sample.failures += 1
@@ -211,6 +213,12 @@
         server: registry.Server,
         answer: serverclient.Answer,
     ) -> str:
+        """Appends a response's events to a sample until the text is complete.
+
+        Raises:
+            ServerError: If the stream breaks, stops, skips an event or
+                exceeds a limit.
+        """
         stream = self.client.events(answer)
         size = sum(len(event.data) for event in sample.events)
         async with contextlib.aclosing(stream):
@@ -242,6 +250,7 @@
     def _idle_timeout_s(
         self, sample: samples.Sample, server: registry.Server
     ) -> float:
+        """Returns how long an engine may send nothing."""
         is_loading = server.loading_until > self.clock.monotonic()
         base_s = LOADING_IDLE_TIMEOUT_S if is_loading else IDLE_TIMEOUT_S
         return min(MAX_IDLE_TIMEOUT_S, base_s * 2**sample.idle_timeouts)
@@ -254,14 +263,14 @@
         sample: samples.Sample,
         server: registry.Server,
         started_at: float,
-        before: int,
+        resumed_events: int,
     ) -> None:
         """Updates the averages and the engine's speed after a complete run."""
-        generated = len(sample.events) - before
+        generated = len(sample.events) - resumed_events
         if not generated:
             return
         elapsed_s = self.clock.monotonic() - started_at
-        if before == 0 and sample.item.length_hint:
+        if resumed_events == 0 and sample.item.length_hint:
             ratio = sample.item.length_hint / len(sample.events)
             self.event_tokens *= (ratio / self.event_tokens) ** AVERAGE_WEIGHT
             token_s = min(MAX_TOKEN_S, elapsed_s / sample.item.length_hint)
@@ -278,7 +287,7 @@
         server: registry.Server,
         outcome: str,
         started_at: float,
-        before: int,
+        resumed_events: int,
         view_age_s: float,
     ) -> None:
         now = self.clock.monotonic()
@@ -291,7 +300,7 @@
             outcome=outcome,
             waited_s=round(started_at - sample.waiting_since, 3),
             took_s=round(now - started_at, 3),
-            events=[before, len(sample.events)],
+            events=[resumed_events, len(sample.events)],
             expected_tokens=sample.expected_tokens(),
             in_flight=server.in_flight,
             view_age_s=round(view_age_s, 3),
--- a/src/kingcupscale/batches/scoring.py
+++ b/src/kingcupscale/batches/scoring.py
@@ -59,7 +59,7 @@
             try:
                 self.guard.check(sample)
                 answer = await self.forwarder.forward(
-                    self._score_call(sample, scorer)
+                    self._make_call(sample, scorer)
                 )
                 score = answer.signature if answer.status < 300 else ""
             except serverclient.WithdrawnError:
@@ -83,12 +83,13 @@
     def _record_score_failure(
         self, sample: samples.Sample, status: int
     ) -> None:
+        """Counts a response without a score and fails a sample with too many."""
         sample.score_failures += 1
         events.log(
             events.Event.SCORING_FAILED,
             item=sample.id,
             request=sample.item.scorer.id if sample.item.scorer else "",
-            reason=f"status {status}",
+            reason=f"no score in the response, status {status}",
             failures=sample.score_failures,
         )
         scorer = sample.item.scorer
@@ -99,7 +100,7 @@
         if route and sample.score_failures >= route.max_attempts:
             self.on_failed(sample, "scoring call failed at every attempt")
 
-    def _score_call(
+    def _make_call(
         self, sample: samples.Sample, scorer: batches.Scorer
     ) -> inbounds.Inbound:
         return inbounds.Inbound(
