--- a/src/kingcupscale/batches/batch.py
+++ b/src/kingcupscale/batches/batch.py
@@ -1,4 +1,7 @@
-"""A batch of items, their results, and how the store holds both."""
+"""Data types of a batch, its items and their results.
+
+The classes are also the stored form, so their field names are part of it.
+"""
 
 import enum
 
@@ -6,7 +9,7 @@
 
 
 class ResultState(enum.Enum):
-    """How an item ended."""
+    """Outcome of an item."""
 
     DONE = "done"
     FAILED = "errored"
@@ -14,7 +17,14 @@
 
 @attrs.frozen
 class Scorer:
-    """The call that scores an item's finished text."""
+    """The scoring call for an item's finished text.
+
+    Attributes:
+        id: Request id of the call.
+        host: Host that the call is sent to.
+        path: Path of the call.
+        body: Body of the call.
+    """
 
     id: str
     host: str
@@ -27,14 +37,14 @@
     """One sample to generate.
 
     Attributes:
-        id: Its identity.
-        path: Path at a backend server.
-        headers: Headers that go with it, lower case.
-        body: Its body.
-        tokens: Prompt tokens and the most output tokens, together.
-        group: Samples of one group share a prompt.
-        scorer: The call that scores it; None if it needs none.
-        length_hint: Output tokens that its caller expects; 0 if unknown.
+        id: Id of the item, unique in its batch.
+        path: Request path at the backend server.
+        headers: Request headers, with names in lower case.
+        body: Request body.
+        tokens: Number of prompt tokens plus the maximum of output tokens.
+        group: Group of the sample. Samples of one group share a prompt.
+        scorer: The scoring call; None if the sample is not scored.
+        length_hint: Output tokens that the caller expects; 0 if unknown.
     """
 
     id: str
@@ -49,18 +59,18 @@
 
 @attrs.frozen
 class Batch:
-    """Items that are submitted at once.
+    """Items that are submitted together for one training step.
 
     Attributes:
-        id: Its identity.
-        organisation: Whose it is.
-        route: Name of the route it came by.
+        id: Id of the batch.
+        organisation: Organisation that owns the batch.
+        route: Name of the route that received the batch.
         host: Host of that route.
-        step: The trainer's step.
+        step: Training step.
         model: The model that is trained.
-        minimum_version: Oldest weight version that may generate its tokens.
-        wanted_groups: Whole groups for which the trainer waits.
-        items: Its items.
+        minimum_version: Oldest weight version that may generate tokens.
+        wanted_groups: Number of complete groups that the trainer waits for.
+        items: The items.
     """
 
     id: str
@@ -74,25 +84,25 @@
     items: list[Item]
 
     def find_problem(self) -> str | None:
-        """Returns what makes it unusable, or None."""
+        """Returns why the batch is invalid, or None if it is valid."""
         if not self.items:
-            return "a batch needs items"
+            return "a batch must have at least one item, but it has none"
         ids = {item.id for item in self.items}
         if len(ids) != len(self.items):
-            return "two items bear the same id"
+            return "item ids must be unique, but two items have the same id"
         return None
 
 
 @attrs.frozen
 class Result:
-    """How an item ended, as listed.
+    """Result of an item, as stored.
 
     Attributes:
-        item: The item's identity.
-        state: Whether it is done.
-        text: Data of all events, joined by line feeds.
-        versions: Weight versions that made an event of the text, ascending.
-        score: Signature of the scoring call.
+        item: Id of the item.
+        state: Outcome of the item.
+        text: Data of all stream events, joined by line feeds.
+        versions: Weight versions that generated the text, ascending.
+        score: Signature of the scoring response; empty if not scored.
     """
 
     item: str
--- a/src/kingcupscale/batches/interest.py
+++ b/src/kingcupscale/batches/interest.py
@@ -1,16 +1,20 @@
-"""Which batches a node needs to know in full."""
+"""Selection of the batches that a node needs with items and results.
+
+A node sends its interest to the node whose changes it follows, which omits the
+values of all other batches.
+"""
 
 import attrs
 
 
 @attrs.frozen
 class Interest:
-    """The batches whose items and results a node wants to be told.
+    """A filter for the batches whose items and results a node needs.
 
     Attributes:
-        everything: Whether it wants all of them.
-        models: Models whose batches it wants.
-        batches: Single batches that it wants.
+        everything: Whether all batches are included.
+        models: Models whose batches are included.
+        batches: Ids of further batches that are included.
     """
 
     everything: bool = False
@@ -18,13 +22,13 @@
     batches: frozenset[str] = frozenset()
 
     def includes(self, batch_id: str, model: str) -> bool:
-        """Tells whether a batch of a model is wanted."""
+        """Returns whether the filter includes a batch of a model."""
         return (
             self.everything or model in self.models or batch_id in self.batches
         )
 
     def is_wider_than(self, other: "Interest") -> bool:
-        """Tells whether it includes a batch that another one may not."""
+        """Returns whether it may include a batch that ``other`` excludes."""
         if other.everything:
             return False
         return (
--- a/src/kingcupscale/batches/maintenance.py
+++ b/src/kingcupscale/batches/maintenance.py
@@ -89,7 +89,7 @@
             )
             if is_wanted and record.is_open():
                 continue
-            closed_bytes += record.size()
+            closed_bytes += record.estimated_bytes()
             if not is_wanted or closed_bytes > CLOSED_BYTES:
                 del self.batch_cache.records[batch_id]
 
--- a/src/kingcupscale/batches/record.py
+++ b/src/kingcupscale/batches/record.py
@@ -1,4 +1,8 @@
-"""What the store holds of a batch, and a batch as one node knows it."""
+"""Stored form of a batch, and the record that a node keeps of it in memory.
+
+Owns the store keys and value types of batches and their results, their
+encoding, and ``Record``, which collects a batch's results in order.
+"""
 
 from typing import TypeVar
 
@@ -10,27 +14,27 @@
 T = TypeVar("T")
 
 PREFIX = "kingcupscale/batches/"
-# Results have a prefix of their own, so that all batches can be listed
-# without the texts.
+# Results have a prefix of their own, so that a scan of all batches does not
+# read their texts.
 RESULTS_PREFIX = "kingcupscale/results/"
 SPECIFICATION = "specification"
 END = "end"
-# Most results in one answer, by the size of their texts in bytes.
-PAGE_BYTES = 900_000
-# Bytes of a result beside its text, roughly.
-RESULT_BYTES = 200
+# Maximum estimated size of the results in one response.
+MAX_PAGE_BYTES = 900_000
+# Estimated bytes of a result in addition to its text.
+RESULT_OVERHEAD_BYTES = 200
 
 _converter = codec.make_wire_converter()
 
 
 @attrs.frozen
 class Specification:
-    """What the store holds of a batch from its acceptance on.
+    """First stored value of a batch, written when the batch is accepted.
 
     Attributes:
-        submitted_ms: When it came, in milliseconds since 1970.
-        parts: Values that its items are spread over.
-        batch: The batch, with the items of the first part.
+        submitted_ms: Submission time in milliseconds since the Unix epoch.
+        parts: Number of stored values that the items are split over.
+        batch: The batch with the items of the first part only.
     """
 
     submitted_ms: int
@@ -40,28 +44,28 @@
 
 @attrs.frozen
 class Items:
-    """Further items of a batch."""
+    """Stored value with the items of one further part of a batch."""
 
     items: list[batch.Item]
 
 
 @attrs.frozen
 class Chunk:
-    """Results that were listed together, at consecutive positions."""
+    """Stored value with results at consecutive positions."""
 
     results: list[batch.Result]
 
 
 @attrs.frozen
 class RecordSnapshot:
-    """All that a node knows of a batch, for another node.
+    """A node's record of a batch, as sent to another node.
 
     Attributes:
-        revision: Store revision up to which nothing is missing.
-        submitted_ms: When it came, in milliseconds since 1970.
+        revision: Store revision up to which the snapshot is complete.
+        submitted_ms: Submission time in milliseconds since the Unix epoch.
         batch: The batch with all of its items.
-        results: The listed results, in order of position.
-        is_ended: Whether its sender has ended it.
+        results: Results that are in the store, in order of position.
+        is_ended: Whether the client has ended the batch.
     """
 
     revision: int
@@ -73,96 +77,114 @@
 
 @attrs.define(eq=False)
 class Record:
-    """A batch as one node knows it.
+    """In-memory record of a batch and of its results in the store.
 
     Attributes:
         batch: The batch with all of its items.
-        submitted_ms: When it came, in milliseconds since 1970.
-        results: The listed results, in order of position.
-        chunks: Listed chunks by first position, until they follow in order.
-        listed: Items that have their result.
-        is_ended: Whether its sender has ended it.
-        is_forgotten: Whether it has been removed.
-        is_current: Whether all changes of it have been heard since it was
+        submitted_ms: Submission time in milliseconds since the Unix epoch.
+        results: Results that are in the store, in order of position.
+        unordered_chunks: Chunks received before their predecessors, by first
+            position.
+        finished_items: Ids of the items whose result is in ``results``.
+        is_ended: Whether the client has ended the batch.
+        is_removed: Whether the batch has been removed from the store.
+        is_current: Whether the record has received every change since it was
             loaded.
-        misses: How often changes of it may have been missed.
+        missed_updates: How often changes may have been missed. A caller
+            compares two readings to detect a miss in between.
     """
 
     batch: batch.Batch
     submitted_ms: int
     results: list[batch.Result] = attrs.field(factory=list)
-    chunks: dict[int, list[batch.Result]] = attrs.field(factory=dict)
-    listed: set[str] = attrs.field(factory=set)
+    unordered_chunks: dict[int, list[batch.Result]] = attrs.field(factory=dict)
+    finished_items: set[str] = attrs.field(factory=set)
     is_ended: bool = False
     is_removed: bool = False
     is_current: bool = True
     missed_updates: int = 0
 
     def has_result(self, item: str) -> bool:
-        """Tells whether an item has its result."""
-        return item in self.listed
+        """Returns whether the store is known to hold an item's result."""
+        return item in self.finished_items
 
     def add_chunk(self, first: int, results: list[batch.Result]) -> None:
-        """Takes over listed results, and those that follow them."""
+        """Adds results at a position, and waiting chunks that follow them.
+
+        A chunk that starts before the end of ``results`` is already known and
+        is ignored.
+        """
         if first < len(self.results):
             return
-        self.chunks[first] = results
-        while len(self.results) in self.chunks:
-            following = self.chunks.pop(len(self.results))
+        self.unordered_chunks[first] = results
+        while len(self.results) in self.unordered_chunks:
+            following = self.unordered_chunks.pop(len(self.results))
             self.results += following
-            self.listed.update(result.item for result in following)
+            self.finished_items.update(result.item for result in following)
 
     def add_encoded_chunk(self, first: int, value: bytes) -> None:
-        """Takes over a chunk as the store holds it.
+        """Adds a chunk as encoded in the store.
+
+        Args:
+            first: Position of the chunk's first result.
+            value: The encoded chunk; empty if its value was omitted.
 
         Raises:
-            ValueError: If it makes no sense, or a
-                ``cattrs.BaseValidationError``.
+            ValueError: If the value is not JSON.
+            cattrs.BaseValidationError: If it is not an encoded chunk.
         """
         if value:
             self.add_chunk(first, decode(Chunk, value).results)
-        is_left_out = not value and first >= len(self.results)
-        if is_left_out or self.chunks:
-            # What is missing may have been told before it was wanted.
+        is_omitted = not value and first >= len(self.results)
+        if is_omitted or self.unordered_chunks:
+            # The missing results may have been sent before this node asked
+            # for the batch, so they must be read from the store.
             self.mark_incomplete()
 
     def mark_incomplete(self) -> None:
-        """Notes that results may be missing until they are read."""
+        """Marks results as possibly missing until the next refresh."""
         self.is_current = False
         self.missed_updates += 1
 
     def mark_ended(self) -> None:
-        """Notes the end; bodies need not be shown any more after it."""
+        """Marks the batch as ended and drops its request bodies.
+
+        Bodies of an ended batch are not served any more.
+        """
         if self.is_ended:
             return
         self.is_ended = True
         self.batch = without_bodies(self.batch)
 
     def is_open(self) -> bool:
-        """Tells whether items are still to be run."""
+        """Returns whether the batch still has items to run."""
         return not (
             self.is_ended
             or self.is_removed
             or len(self.results) >= len(self.batch.items)
         )
 
-    def size(self) -> int:
-        """Returns the bytes of its results, roughly."""
-        return sum(len(r.text) + RESULT_BYTES for r in self.results)
+    def estimated_bytes(self) -> int:
+        """Returns the estimated size of all results in bytes."""
+        return sum(len(r.text) + RESULT_OVERHEAD_BYTES for r in self.results)
 
     def page(self, after: int) -> list[batch.Result]:
-        """Returns the results from a position on that fit into an answer."""
+        """Returns results from a position on, as many as fit in a response."""
         page: list[batch.Result] = []
-        size = 0
+        estimated_bytes = 0
         for result in self.results[after:]:
-            size += len(result.text) + RESULT_BYTES
-            if page and size > PAGE_BYTES:
+            estimated_bytes += len(result.text) + RESULT_OVERHEAD_BYTES
+            if page and estimated_bytes > MAX_PAGE_BYTES:
                 break
             page.append(result)
         return page
 
     def snapshot(self, revision: int) -> RecordSnapshot:
-        """Returns it for another node."""
+        """Returns a snapshot to send to another node.
+
+        Args:
+            revision: Store revision up to which this record is complete.
+        """
         return RecordSnapshot(
             revision,
             self.submitted_ms,
@@ -173,7 +195,10 @@
 
 
 def without_bodies(whole: batch.Batch) -> batch.Batch:
-    """Returns what is still shown of a batch that has been ended."""
+    """Returns a batch without request bodies, headers and scoring calls.
+
+    This is what remains of a batch after its end.
+    """
     items = [
         attrs.evolve(item, body=b"", headers={}, scorer=None)
         for item in whole.items
@@ -182,7 +207,7 @@
 
 
 def from_snapshot(copy: RecordSnapshot) -> Record:
-    """Returns a batch as another node knows it."""
+    """Returns a record made from another node's snapshot."""
     record = Record(copy.batch, copy.submitted_ms)
     record.add_chunk(0, copy.results)
     record.is_ended = copy.is_ended
@@ -190,11 +215,17 @@
 
 
 def assemble(parts: dict[str, bytes]) -> Record | None:
-    """Returns the batch that a specification's parts make, once all are there.
+    """Returns the record of a batch from its stored parts.
+
+    Args:
+        parts: Stored values by part number.
+
+    Returns:
+        The record, or None if a part is missing.
 
     Raises:
-        ValueError: If a part makes no sense, or a
-            ``cattrs.BaseValidationError``.
+        ValueError: If a part is not JSON.
+        cattrs.BaseValidationError: If a part has an unexpected structure.
     """
     if "0" not in parts:
         return None
@@ -209,17 +240,17 @@
 
 
 def batch_key(batch_id: str, *parts: str) -> str:
-    """Returns a key of a batch."""
+    """Returns a store key of a batch that has the given path segments."""
     return "/".join([PREFIX + batch_id, *parts])
 
 
 def result_key(batch_id: str, position: int) -> str:
-    """Returns the key of a chunk of results."""
+    """Returns the store key of the chunk that starts at a position."""
     return f"{RESULTS_PREFIX}{batch_id}/{position:06d}"
 
 
 def batch_id_of(key: str) -> str | None:
-    """Returns the batch that a key belongs to, if it belongs to one."""
+    """Returns the id of the batch that a store key belongs to, or None."""
     for prefix in (PREFIX, RESULTS_PREFIX):
         if key.startswith(prefix):
             return key.removeprefix(prefix).partition("/")[0]
@@ -227,29 +258,32 @@
 
 
 def split(items: list[batch.Item], limit: int) -> list[list[batch.Item]]:
-    """Divides items so that each part fits into one value."""
+    """Splits items into parts of at most ``limit`` encoded bytes.
+
+    An item that is larger than the limit gets a part of its own.
+    """
     parts: list[list[batch.Item]] = [[]]
-    size = 0
+    estimated_bytes = 0
     for item in items:
         item_bytes = len(encode(item))
-        if parts[-1] and size + item_bytes > limit:
+        if parts[-1] and estimated_bytes + item_bytes > limit:
             parts.append([])
-            size = 0
+            estimated_bytes = 0
         parts[-1].append(item)
-        size += item_bytes
+        estimated_bytes += item_bytes
     return parts
 
 
 def encode(value: object) -> bytes:
-    """Returns a value as the store holds it."""
+    """Returns an object encoded for the store."""
     return _converter.dumps(value)
 
 
 def decode(kind: type[T], value: bytes) -> T:
-    """Returns a value as it was.
+    """Returns the object that a stored value encodes.
 
     Raises:
-        ValueError: If it is no JSON, or a ``cattrs.BaseValidationError`` if it
-            is not of this kind.
+        ValueError: If the value is not JSON.
+        cattrs.BaseValidationError: If its structure does not match ``kind``.
     """
     return _converter.loads(value, kind)
--- a/tests/batches/test_cache.py
+++ b/tests/batches/test_cache.py
@@ -58,7 +58,7 @@
         record = await node.batch_cache.find(batch_id, "o")
         await node.batch_cache.read(record, 0, 0.0)
         self.assertEqual(len(record.results), fleets.ITEMS, batch_id)
-        self.assertEqual(len(record.listed), fleets.ITEMS)
+        self.assertEqual(len(record.finished_items), fleets.ITEMS)
         self.assertEqual(len(record.batch.items), fleets.ITEMS)
 
 
@@ -178,18 +178,20 @@
     async def test_two_writers_get_two_positions(self):
         async with fleets.opened_pair() as pair:
             await pair.read()
-            listed = []
+            finished_items = []
 
             async def list_item(node, item):
                 record = node.batch_cache.records["b"]
                 result = batch.Result(item, batch.ResultState.DONE, item)
                 chunk = records.Chunk([result])
-                listed.append(await node.batch_cache.append([(record, chunk)]))
+                finished_items.append(
+                    await node.batch_cache.append([(record, chunk)])
+                )
 
             async with trio.open_nursery() as writers:
                 writers.start_soon(list_item, pair.leader, "i0")
                 writers.start_soon(list_item, pair.follower, "i1")
-            self.assertEqual(sorted(listed), [False, True])
+            self.assertEqual(sorted(finished_items), [False, True])
             await trio.sleep(1)
             self.assertEqual(await pair.read(), 1)
 
