--- a/src/kingcupscale/batches/maintenance.py
+++ b/src/kingcupscale/batches/maintenance.py
@@ -1,25 +1,25 @@
-"""Which batches a node goes on knowing in full."""
+"""Maintenance of the batch cache: loading, refreshing and evicting batches."""
 
 from kingcupscale import clock as clocks
 from kingcupscale import errors
 from kingcupscale.batches import cache as caches
 from kingcupscale.batches import record as records
 
-# A batch that is read here is kept up to date for this long after a read;
-# readers ask about twice a second.
+# A batch stays cached for this long after a client read it. A client reads
+# about twice a second.
 READ_TTL_S = 10.0
-# Texts of batches that nothing is added to any more, in bytes.
-CLOSED_BYTES = 8_000_000
-PAUSE_S = 0.1
-SWEEP_S = 1.0
+# Maximum estimated size of the cached batches that get no more results.
+MAX_CLOSED_BYTES = 8_000_000
+POLL_INTERVAL_S = 0.1
+EVICTION_INTERVAL_S = 1.0
 
 
 class CacheMaintainer:
-    """Loads the batches that are wanted, and lets go of the rest.
+    """Loads the batches that the node is interested in and evicts the rest.
 
     Args:
-        batch_cache: The batches.
-        clock: Tells the time.
+        batch_cache: The cache.
+        clock: Clock for the pauses and the age of reads.
     """
 
     def __init__(
@@ -27,23 +27,23 @@
     ) -> None:
         self.batch_cache = batch_cache
         self.clock = clock
-        self.swept_at = 0.0
+        self.evicted_at = 0.0
 
     async def run(self) -> None:
-        """Loads what is wanted and lets go of the rest, until cancelled."""
+        """Maintains the cache until cancelled."""
         while True:
             await self._load_wanted()
             now = self.clock.monotonic()
-            if now - self.swept_at >= SWEEP_S:
-                self.swept_at = now
-                self._let_go()
-            await self.clock.rest(PAUSE_S)
+            if now - self.evicted_at >= EVICTION_INTERVAL_S:
+                self.evicted_at = now
+                self._evict()
+            await self.clock.rest(POLL_INTERVAL_S)
 
     async def _load_wanted(self) -> None:
         for batch_id in sorted(self.batch_cache.load_candidates):
-            known = self.batch_cache.summaries.get(batch_id)
-            is_wanted = known is None or self.batch_cache.interest.includes(
-                batch_id, known.model
+            summary = self.batch_cache.summaries.get(batch_id)
+            is_wanted = summary is None or self.batch_cache.interest.includes(
+                batch_id, summary.model
             )
             if not is_wanted or self.batch_cache.has_end(batch_id):
                 self.batch_cache.load_candidates.discard(batch_id)
@@ -54,10 +54,10 @@
                 self.batch_cache.load_candidates.add(batch_id)
                 caches.log_load_failure(batch_id, e)
                 return
-        await self._refresh_open()
+        await self._refresh_open_batches()
 
-    async def _refresh_open(self) -> None:
-        """Brings up to date what may have been missed of open batches."""
+    async def _refresh_open_batches(self) -> None:
+        """Refreshes open batches that may lack results."""
         for record in list(self.batch_cache.records.values()):
             if record.is_current or not record.is_open():
                 continue
@@ -67,8 +67,12 @@
                 caches.log_load_failure(record.batch.id, e)
                 return
 
-    def _let_go(self) -> None:
-        """Lets go of batches that nobody here asks for any more."""
+    def _evict(self) -> None:
+        """Evicts batches outside the node's interest, and old closed batches.
+
+        Closed batches get no more results. Those read or submitted last stay
+        cached up to a total size.
+        """
         now = self.clock.monotonic()
         self.batch_cache.last_read_at = {
             batch_id: at
@@ -77,12 +81,12 @@
         }
         self.batch_cache.update_interest()
         closed_bytes = 0
-        newest_first = sorted(
+        recent_first = sorted(
             self.batch_cache.records.values(),
-            key=self._last_wanted_at,
+            key=self._recency,
             reverse=True,
         )
-        for record in newest_first:
+        for record in recent_first:
             batch_id = record.batch.id
             is_wanted = self.batch_cache.interest.includes(
                 batch_id, record.batch.model
@@ -90,9 +94,9 @@
             if is_wanted and record.is_open():
                 continue
             closed_bytes += record.estimated_bytes()
-            if not is_wanted or closed_bytes > CLOSED_BYTES:
+            if not is_wanted or closed_bytes > MAX_CLOSED_BYTES:
                 del self.batch_cache.records[batch_id]
 
-    def _last_wanted_at(self, record: records.Record) -> tuple[float, int]:
+    def _recency(self, record: records.Record) -> tuple[float, int]:
         read_at = self.batch_cache.last_read_at.get(record.batch.id, 0.0)
         return read_at, record.submitted_ms
--- a/src/kingcupscale/batches/resultwriter.py
+++ b/src/kingcupscale/batches/resultwriter.py
@@ -1,4 +1,7 @@
-"""Giving finished samples their positions, several by one write."""
+"""Writes results of finished samples to the store, several per transaction.
+
+The write assigns each result its position in the batch's list of results.
+"""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -14,26 +17,27 @@
 from kingcupscale.batches import sample as samples
 from kingcupscale.storage import store as stores
 
-# Results that come within this time are listed by one write.
-GATHER_S = 0.2
-COMMIT_RETRY_S = 0.3
-# Most results in one write, by the size of their texts in bytes.
-WRITE_BYTES = 400_000
-# Most batches in one write; a transaction takes 32 entries at the least.
-WRITE_BATCHES = 16
+# Results that finish within this time are written by one transaction.
+BATCHING_DELAY_S = 0.2
+RETRY_PAUSE_S = 0.3
+# A write takes no further result once its texts exceed this size.
+MAX_WRITE_BYTES = 400_000
+# Maximum number of batches in one write, each with a condition and a put. All
+# supported stores accept transactions of at least 32 entries.
+MAX_WRITE_BATCHES = 16
 
 
 class ResultWriter:
-    """Lists the results of one service's samples.
+    """Writes the results of one service's samples to the store.
 
     Args:
         service: Name of the service, for the log.
-        batch_cache: The batches.
-        clock: Tells the time.
-        find_samples: Returns the samples that may have results.
+        batch_cache: The batches and their results.
+        clock: Clock for the pauses.
+        find_samples: Returns the samples that may have unwritten results.
 
     Attributes:
-        finished: Set once a sample has a result.
+        has_results: Set by the coordinator when a sample has a result.
     """
 
     def __init__(
@@ -50,10 +54,10 @@
         self.has_results = trio.Event()
 
     async def run(self) -> None:
-        """Lists finished samples, several by one write."""
+        """Writes results as samples finish, until cancelled."""
         while True:
             await self.has_results.wait()
-            await self.clock.sleep(GATHER_S)
+            await self.clock.sleep(BATCHING_DELAY_S)
             self.has_results = trio.Event()
             try:
                 await self._commit()
@@ -63,39 +67,40 @@
                     service=self.service,
                     reason=str(e),
                 )
-                await self.clock.sleep(COMMIT_RETRY_S)
+                await self.clock.sleep(RETRY_PAUSE_S)
                 self.has_results.set()
 
     async def _commit(self) -> None:
-        additions = self._gather()
-        if not additions:
+        chunks = self._collect_unwritten()
+        if not chunks:
             return
-        has_result = await self.batch_cache.append(additions)
-        for record, chunk in additions:
+        is_written = await self.batch_cache.append(chunks)
+        for record, chunk in chunks:
             events.log(
                 events.Event.RESULTS_LISTED,
                 batch=record.batch.id,
                 items=[result.item for result in chunk.results],
-                listed=has_result,
+                listed=is_written,
                 position=len(record.results),
             )
-        # What did not fit, or met another writer, is looked at again.
+        # Run again: some results may not have fitted, or another node may have
+        # written at the same position first.
         self.has_results.set()
 
-    def _gather(self) -> list[tuple[records.Record, records.Chunk]]:
-        """Returns the results that are not listed yet, as far as fits."""
+    def _collect_unwritten(self) -> list[tuple[records.Record, records.Chunk]]:
+        """Returns results that are not in the store, up to the size limits."""
         found: dict[str, tuple[records.Record, dict[str, batches.Result]]] = {}
         size = 0
         for sample in self.find_samples():
             record = sample.record
             if sample.result is None or record.has_result(sample.id):
                 continue
-            if size > WRITE_BYTES:
+            if size > MAX_WRITE_BYTES:
                 break
             size += len(sample.result.text) + 200
             _, results = found.setdefault(record.batch.id, (record, {}))
             results.setdefault(sample.id, sample.result)
         return [
             (record, records.Chunk(list(results.values())))
-            for record, results in list(found.values())[:WRITE_BATCHES]
+            for record, results in list(found.values())[:MAX_WRITE_BATCHES]
         ]
--- a/src/kingcupscale/batches/retention.py
+++ b/src/kingcupscale/batches/retention.py
@@ -1,4 +1,4 @@
-"""Removing batches that need not be read any more."""
+"""Removes batches from the store once their retention time has passed."""
 
 import functools
 
@@ -9,16 +9,17 @@
 from kingcupscale.storage import entries
 from kingcupscale.storage import store as stores
 
-# Keys in one transaction, which the store takes at the least.
-REMOVALS_MOST = 32
+# Maximum number of keys in one transaction. Every supported store accepts
+# transactions of this size.
+MAX_REMOVALS = 32
 
 
 class Retention:
-    """Removes old batches from the store.
+    """Removes old batches that get no more results from the store.
 
     Args:
         batch_cache: The batches.
-        clock: Tells the time.
+        clock: Clock for the age of batches.
     """
 
     def __init__(
@@ -30,7 +31,10 @@
         self.clock = clock
 
     async def remove_older_than(self, seconds: float) -> None:
-        """Removes batches that need not be read any more.
+        """Removes finished or ended batches that are older than ``seconds``.
+
+        A batch whose submission time is not known is read first, and removed by
+        a later call.
 
         Raises:
             StoreError: If the store cannot be reached.
@@ -42,16 +46,19 @@
                 or batch_id in self.batch_cache.pending_loads
             ):
                 continue
-            known = self.batch_cache.summaries.get(batch_id)
-            if known is None:
-                await self._learn(batch_id)
+            summary = self.batch_cache.summaries.get(batch_id)
+            if summary is None:
+                await self._load_summary(batch_id)
                 continue
-            is_old = now_ms - known.submitted_ms > seconds * 1000
+            is_old = now_ms - summary.submitted_ms > seconds * 1000
             if is_old and await self._is_closed(batch_id):
-                await self._forget(batch_id)
+                await self._remove(batch_id)
 
     async def _is_closed(self, batch_id: str) -> bool:
-        """Tells whether nothing is added to a batch any more for sure."""
+        """Returns whether a batch certainly gets no more results.
+
+        Returns False if the batch cannot be read.
+        """
         if self.batch_cache.has_end(batch_id):
             return True
         try:
@@ -61,30 +68,35 @@
             return False
         return record is not None and not record.is_open()
 
-    async def _learn(self, batch_id: str) -> None:
-        """Reads when a batch came, of one that was seen by its name only."""
+    async def _load_summary(self, batch_id: str) -> None:
+        """Reads the submission time and the model of a batch from the store.
+
+        The mirror may hold the key of a batch without its value.
+        """
         key = records.batch_key(batch_id, records.SPECIFICATION, "0")
         entry = await self.store.store.get(key)
         if entry is None or entry.value is None:
             return
         decode = functools.partial(records.decode, records.Specification)
-        head = entries.read(entry, decode)
-        if head is None:
+        specification = entries.read(entry, decode)
+        if specification is None:
             return
         self.batch_cache.summaries[batch_id] = caches.BatchSummary(
-            head.submitted_ms, head.batch.model
+            specification.submitted_ms, specification.batch.model
         )
 
-    async def _forget(self, batch_id: str) -> None:
+    async def _remove(self, batch_id: str) -> None:
         prefix = f"{records.RESULTS_PREFIX}{batch_id}/"
         keys = [entry.key for entry in await self.fetcher.entries(prefix)]
-        heads = self.batch_cache.feed.under(records.batch_key(batch_id, ""))
-        # The specification goes last, so that a half-removed batch is found
-        # again by the next round.
+        batch_entries = self.batch_cache.feed.under(
+            records.batch_key(batch_id, "")
+        )
+        # The specification is removed last. If the removal is interrupted, the
+        # next call finds the batch again.
         keys += sorted(
-            (entry.key for entry in heads),
+            (entry.key for entry in batch_entries),
             key=lambda key: records.SPECIFICATION in key,
         )
-        for start in range(0, len(keys), REMOVALS_MOST):
-            removals = keys[start : start + REMOVALS_MOST]
+        for start in range(0, len(keys), MAX_REMOVALS):
+            removals = keys[start : start + MAX_REMOVALS]
             await self.store.commit(stores.Transaction(removals=removals))
--- a/src/kingcupscale/batches/samplereplication.py
+++ b/src/kingcupscale/batches/samplereplication.py
@@ -1,4 +1,8 @@
-"""Copying texts on their way to the node that would take over."""
+"""Replicates texts of unfinished samples to the standby node.
+
+If the node that runs the samples fails, the standby resumes them from its
+replica of the texts.
+"""
 
 from collections.abc import Callable
 
@@ -8,26 +12,31 @@
 from kingcupscale.peering import calls
 from kingcupscale.peering import handover
 
-# What a takeover loses is at most what was made within this time.
-COPY_PAUSE_S = 0.3
-# Most texts in one copy.
-TEXTS_MOST = 400
-# Nodes that are asked to go on with the samples of one that stops.
-SUCCESSORS_MOST = 3
+# A takeover loses at most the text that was generated within this time.
+REPLICATION_INTERVAL_S = 0.3
+# Maximum number of texts in one request.
+MAX_TEXTS = 400
+# How many nodes a stopping node asks to continue its samples.
+MAX_HANDOVER_ATTEMPTS = 3
 
 
 class SampleReplicator:
-    """Sends what one model's samples have added to one other node.
+    """Sends new text and results of one model's samples to the standby.
 
     Args:
-        coordinator: Runs the samples.
-        model: The model.
-        client: Sends the copies.
-        clock: Tells the time.
-        node: This node's name.
-        find_target: Returns the name and the address of the node to send to;
-            None if there is none.
-        note_failure: Told which node a copy could not be sent to.
+        coordinator: Coordinator that runs the samples.
+        model: Name of the model.
+        client: Client for replication requests.
+        clock: Clock for the pauses.
+        node: Name of this node.
+        find_target: Returns the name and address of the standby, or None if
+            there is none.
+        note_failure: Called with the name of a node that a request failed for.
+
+    Attributes:
+        target: Name of the node that the last request was sent to.
+        sent: How many events of each sample the target has, by item id.
+        sent_results: Ids of the items whose result the target has.
     """
 
     def __init__(
@@ -52,13 +61,16 @@
         self.sent_results: set[str] = set()
 
     async def run(self) -> None:
-        """Sends copies until cancelled."""
+        """Replicates at regular intervals until cancelled."""
         while True:
-            await self.clock.rest(COPY_PAUSE_S)
+            await self.clock.rest(REPLICATION_INTERVAL_S)
             await self.send()
 
     async def send(self) -> None:
-        """Sends what is new; nothing new tells that this node lives."""
+        """Sends new text and results to the standby.
+
+        The request is also sent if nothing is new, as a heartbeat.
+        """
         if not self.coordinator.has_open_batches(self.model):
             return
         target = self.find_target()
@@ -66,13 +78,13 @@
             await self._send_to(target, is_last=False)
 
     async def hand_over(self) -> bool:
-        """Sends what is new to a node that goes on with the samples at once.
+        """Sends the last text and has another node run the samples at once.
 
         Returns:
-            Whether a node does; without one, the samples wait until a node
-            takes the duty.
+            Whether a node accepted. If not, the samples wait until a node
+            acquires the lease.
         """
-        for _ in range(SUCCESSORS_MOST):
+        for _ in range(MAX_HANDOVER_ATTEMPTS):
             target = self.find_target()
             if target is None:
                 return False
@@ -81,13 +93,13 @@
         return False
 
     async def _send_to(self, target: tuple[str, str], is_last: bool) -> bool:
-        """Sends what is new to a node; False if that failed."""
+        """Sends new text and results to a node; returns False on failure."""
         name, address = target
         if name != self.target:
             self.target = name
-            self._forget()
-        texts = self._collect()
-        copy = handover.Copy(
+            self._reset_sent()
+        texts = self._collect_updates()
+        request = handover.Copy(
             self.coordinator.service,
             texts,
             self.model,
@@ -95,9 +107,9 @@
             is_last,
         )
         try:
-            await self.client.send(address, copy)
+            await self.client.send(address, request)
         except calls.PeerError as e:
-            self._forget()
+            self._reset_sent()
             if e.status != handover.STATUS_MISFIT:
                 self.note_failure(name)
             events.log(
@@ -115,15 +127,15 @@
                 self.sent_results.add(text.item)
         return True
 
-    def _forget(self) -> None:
+    def _reset_sent(self) -> None:
         self.sent = {}
         self.sent_results = set()
 
-    def _collect(self) -> list[handover.Text]:
+    def _collect_updates(self) -> list[handover.Text]:
         texts = []
-        open_items = set()
+        open_item_ids = set()
         for sample in self.coordinator.unlisted_samples(self.model):
-            open_items.add(sample.id)
+            open_item_ids.add(sample.id)
             sent = self.sent.get(sample.id, 0)
             if sent > len(sample.events):
                 sent = 0
@@ -140,6 +152,6 @@
                     )
                 )
                 self.sent[sample.id] = sent
-        self.sent = {i: n for i, n in self.sent.items() if i in open_items}
-        self.sent_results &= open_items
-        return texts[:TEXTS_MOST]
+        self.sent = {i: n for i, n in self.sent.items() if i in open_item_ids}
+        self.sent_results &= open_item_ids
+        return texts[:MAX_TEXTS]
--- a/src/kingcupscale/batches/transactions.py
+++ b/src/kingcupscale/batches/transactions.py
@@ -1,4 +1,8 @@
-"""Writing batches so that it is known whether the store has them."""
+"""Store transactions that accept and end a batch, and their commit.
+
+A commit is retried after a failure, so that the caller learns whether the store
+has the batch even if a response was lost.
+"""
 
 import attrs
 
@@ -10,24 +14,24 @@
 from kingcupscale.storage import detour
 from kingcupscale.storage import store as stores
 
-# Pause between two tries of a write that the store did not take.
-RETRY_S = 0.15
-RETRY_MOST_S = 0.6
+# Back-off before a failed commit is retried; it doubles up to the maximum.
+RETRY_PAUSE_S = 0.15
+MAX_RETRY_PAUSE_S = 0.6
 
 
 def make_acceptance(
-    new: batch.Batch, now_ms: int, part_bytes: int
+    new: batch.Batch, submitted_ms: int, part_bytes: int
 ) -> stores.Transaction:
-    """Returns the write that keeps a batch, on condition that it is new.
+    """Returns the transaction that stores a batch if it is not stored yet.
 
     Args:
         new: The batch.
-        now_ms: When it came, in milliseconds since 1970.
-        part_bytes: Largest value to write.
+        submitted_ms: Submission time in milliseconds since the Unix epoch.
+        part_bytes: Maximum size of the items in one stored value.
     """
     groups = records.split(new.items, part_bytes)
     head = records.Specification(
-        now_ms, len(groups), attrs.evolve(new, items=groups[0])
+        submitted_ms, len(groups), attrs.evolve(new, items=groups[0])
     )
     values = [records.encode(head)]
     values += [records.encode(records.Items(items)) for items in groups[1:]]
@@ -42,26 +46,28 @@
 
 
 def make_end(record: records.Record, parts: int) -> stores.Transaction:
-    """Returns the write that ends a batch, unless it is ended already.
+    """Returns the transaction that ends a batch unless it has ended already.
 
-    The bodies go with it: nobody may ask for them any more, and a node that
-    starts reads all batches.
+    The transaction also removes the request bodies from the store. They may not
+    be requested after the end, and a starting node, which reads all batches,
+    then reads less.
 
     Args:
         record: The batch.
-        parts: Values that its items are spread over; 0 to leave them.
+        parts: Number of stored values that the items are split over; 0 to leave
+            the stored items unchanged.
     """
     key = records.batch_key(record.batch.id, records.END)
     puts = [stores.Put(key, b"1")]
-    slim = records.without_bodies(record.batch)
+    stripped = records.without_bodies(record.batch)
     for number in range(parts):
         value: object = records.Items([])
         if number == 0:
-            value = records.Specification(record.submitted_ms, parts, slim)
-        name = records.batch_key(
+            value = records.Specification(record.submitted_ms, parts, stripped)
+        part_key = records.batch_key(
             record.batch.id, records.SPECIFICATION, str(number)
         )
-        puts.append(stores.Put(name, records.encode(value)))
+        puts.append(stores.Put(part_key, records.encode(value)))
     return stores.Transaction([stores.Condition(key, stores.ABSENT)], puts)
 
 
@@ -69,28 +75,30 @@
     store: detour.DetourStore,
     clock: clocks.Clock,
     transaction: stores.Transaction,
-    patience_s: float,
+    timeout_s: float,
     batch_id: str,
 ) -> bool:
-    """Commits; whether a lost answer took effect shows in a repetition.
+    """Commits a transaction, with retries until a time-out.
 
     Args:
-        store: Where to write.
-        clock: Tells the time.
-        transaction: With a condition that its own execution ends.
-        patience_s: Seconds that the sender will wait.
-        batch_id: The batch, for the log.
+        store: The store.
+        clock: Clock for the time-out and the pauses.
+        transaction: The transaction. Its condition must not hold any more once
+            it has been executed: a retry after a lost response then cannot
+            execute it twice.
+        timeout_s: Seconds after which no retry is started.
+        batch_id: Id of the batch, for the log.
 
     Returns:
-        Whether the condition held.
+        Whether the condition held at the commit that was answered.
 
     Raises:
-        ServiceError: ``STORE_UNAVAILABLE`` if it was surely not done,
-            ``BATCH_UNDECIDED`` if that is not known.
+        ServiceError: ``STORE_UNAVAILABLE`` if the transaction was certainly not
+            executed, ``BATCH_UNDECIDED`` if it may have been.
     """
-    until = clock.monotonic() + patience_s
+    deadline = clock.monotonic() + timeout_s
     may_have_run = False
-    pause_s = RETRY_S
+    pause_s = RETRY_PAUSE_S
     while True:
         try:
             revision = await store.commit(transaction)
@@ -103,10 +111,10 @@
                 reason=e.reason,
                 may_have_run=e.may_have_run,
             )
-        if clock.monotonic() + pause_s >= until:
+        if clock.monotonic() + pause_s >= deadline:
             break
         await clock.sleep(pause_s)
-        pause_s = min(RETRY_MOST_S, 2 * pause_s)
+        pause_s = min(MAX_RETRY_PAUSE_S, 2 * pause_s)
     if may_have_run:
         raise errors.ServiceError(
             errors.ResultCode.BATCH_UNDECIDED, run=errors.Run.UNKNOWN
