--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -143,7 +143,7 @@
         ]
         return [*self.open_samples(), *self.released_samples]
 
-    def apply_copy(self, copy: handover.Copy) -> bool:
+    def apply_copy(self, copy: handover.ReplicationRequest) -> bool:
         """Takes over texts that another node has made.
 
         Returns:
@@ -153,7 +153,7 @@
         present = {sample.id: sample for sample in self.open_samples()}
         for text in copy.texts:
             known = self.partial_texts.get(text.item, [])
-            if not text.follows(known):
+            if not text.continues(known):
                 fits = False
                 continue
             if text.events and text.events[0].number == 1:
--- a/src/kingcupscale/batches/retention.py
+++ b/src/kingcupscale/batches/retention.py
@@ -6,7 +6,7 @@
 from kingcupscale import errors
 from kingcupscale.batches import cache as caches
 from kingcupscale.batches import record as records
-from kingcupscale.storage import entries
+from kingcupscale.storage import decoding
 from kingcupscale.storage import store as stores
 
 # Maximum number of keys in one transaction. Every supported store accepts
@@ -78,7 +78,7 @@
         if entry is None or entry.value is None:
             return
         decode = functools.partial(records.decode, records.Specification)
-        specification = entries.read(entry, decode)
+        specification = decoding.decode_entry(entry, decode)
         if specification is None:
             return
         self.batch_cache.summaries[batch_id] = caches.BatchSummary(
@@ -88,7 +88,7 @@
     async def _remove(self, batch_id: str) -> None:
         prefix = f"{records.RESULTS_PREFIX}{batch_id}/"
         keys = [entry.key for entry in await self.fetcher.entries(prefix)]
-        batch_entries = self.batch_cache.feed.under(
+        batch_entries = self.batch_cache.mirror.entries_under(
             records.batch_key(batch_id, "")
         )
         # The specification is removed last. If the removal is interrupted, the
--- a/src/kingcupscale/batches/samplereplication.py
+++ b/src/kingcupscale/batches/samplereplication.py
@@ -99,7 +99,7 @@
             self.target = name
             self._reset_sent()
         texts = self._collect_updates()
-        request = handover.Copy(
+        request = handover.ReplicationRequest(
             self.coordinator.service,
             texts,
             self.model,
@@ -110,7 +110,7 @@
             await self.client.send(address, request)
         except calls.PeerError as e:
             self._reset_sent()
-            if e.status != handover.STATUS_MISFIT:
+            if e.status != handover.STATUS_OUT_OF_SYNC:
                 self.note_failure(name)
             events.log(
                 events.Event.COPY_FAILED,
@@ -131,7 +131,7 @@
         self.sent = {}
         self.sent_results = set()
 
-    def _collect_updates(self) -> list[handover.Text]:
+    def _collect_updates(self) -> list[handover.TextUpdate]:
         texts = []
         open_item_ids = set()
         for sample in self.coordinator.unlisted_samples(self.model):
@@ -143,7 +143,7 @@
             is_new = sample.result and sample.id not in self.sent_results
             if added or is_new:
                 texts.append(
-                    handover.Text(
+                    handover.TextUpdate(
                         sample.id,
                         added,
                         sample.result,
--- a/src/kingcupscale/clusterstate.py
+++ b/src/kingcupscale/clusterstate.py
@@ -6,8 +6,8 @@
 from kingcupscale import events
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import registry
-from kingcupscale.storage import entries
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import decoding
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 
 
@@ -19,7 +19,7 @@
     than the present one is ignored too.
 
     Args:
-        feed: The local replica of the store.
+        mirror: The local replica of the store.
         servers: Receives the backend servers' entries.
         keys: Keys and key prefixes of the entries.
         decoders: Decode the entries' values.
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        feed: feeds.Feed,
+        mirror: mirrors.StoreMirror,
         servers: registry.ServerRegistry,
         keys: dependencies.Keys,
         decoders: dependencies.Decoders,
@@ -41,14 +41,14 @@
         self.decoders = decoders
         self.catalogue: catalogue.Catalogue | None = None
         self.target_versions: dict[str, int] = {}
-        feed.subscribe(keys.configuration, self._apply_configuration)
-        feed.subscribe(keys.servers, self._apply_server)
-        feed.subscribe(keys.versions, self._apply_target_version)
+        mirror.subscribe(keys.configuration, self._apply_configuration)
+        mirror.subscribe(keys.servers, self._apply_server)
+        mirror.subscribe(keys.versions, self._apply_target_version)
 
     def _apply_configuration(self, entry: stores.Entry) -> None:
         if entry.value is None:
             return
-        found = entries.read(entry, self.decoders.catalogue)
+        found = decoding.decode_entry(entry, self.decoders.catalogue)
         if found is None or not catalogue.is_newer(found, self.catalogue):
             return
         self.catalogue = found
@@ -65,14 +65,14 @@
             self.servers.remove(server_id)
             return
         decode = functools.partial(self.decoders.server, server_id)
-        found = entries.read(entry, decode)
+        found = decoding.decode_entry(entry, decode)
         if found is not None:
             self.servers.register(found)
 
     def _apply_target_version(self, entry: stores.Entry) -> None:
         if entry.value is None:
             return
-        found = entries.read(entry, self.decoders.target_version)
+        found = decoding.decode_entry(entry, self.decoders.target_version)
         if found is None:
             return
         model, version = found
--- a/src/kingcupscale/peering/loads.py
+++ b/src/kingcupscale/peering/loads.py
@@ -12,7 +12,7 @@
 
 
 @attrs.frozen
-class LoadState:
+class WeightLoadState:
     """How the load of a weight version on an engine stands.
 
     Attributes:
@@ -34,7 +34,7 @@
 class LoadClient(Protocol):
     """Sends states to other nodes."""
 
-    async def send(self, address: str, state: LoadState) -> None:
+    async def send(self, address: str, state: WeightLoadState) -> None:
         """Sends one state.
 
         Raises:
@@ -53,15 +53,15 @@
     def __init__(self, http_client: httpclient.HttpClient) -> None:
         self.http_client = http_client
 
-    async def send(self, address: str, state: LoadState) -> None:
+    async def send(self, address: str, state: WeightLoadState) -> None:
         """Sends one state."""
         await calls.post(self.http_client, address, PATH, state, SEND_TIMEOUT_S)
 
 
-def decode(body: bytes) -> LoadState:
+def decode(body: bytes) -> WeightLoadState:
     """Returns a state as it came.
 
     Raises:
         ServiceError: ``BODY_INVALID``.
     """
-    return calls.decode(body, LoadState)
+    return calls.decode(body, WeightLoadState)
--- a/tests/batches/fleets.py
+++ b/tests/batches/fleets.py
@@ -12,8 +12,8 @@
 from kingcupscale.fakes import virtualtime
 from kingcupscale.peering import calls
 from kingcupscale.peering import relay
-from kingcupscale.storage import detour
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import fallback
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 from tests.storage import test_relay
 
@@ -116,23 +116,23 @@
         self.fleet = fleet
         self.is_leader = is_leader
         clock = self.clock = virtualtime.VirtualClock()
-        self.feed = feeds.Feed(
+        self.mirror = mirrors.StoreMirror(
             fleet.store, clock, name, self._pause_s, self._follow
         )
         self.batch_cache = caches.BatchCache(
-            self.feed,
-            detour.DetourStore(fleet.store, self._commit_elsewhere),
+            self.mirror,
+            fallback.FallbackStore(fleet.store, self._commit_through_peer),
             clock,
             1 << 16,
             self._fetch_copy,
         )
-        self.handler = relay.RelayHandler(self.feed, self.batch_cache)
+        self.handler = relay.RelayHandler(self.mirror, self.batch_cache)
         self.scope = trio.CancelScope()
 
     async def run(self):
         with self.scope:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self.feed.run)
+                nursery.start_soon(self.mirror.run)
                 nursery.start_soon(
                     maintenance.CacheMaintainer(
                         self.batch_cache, self.clock
@@ -142,7 +142,7 @@
     def _pause_s(self):
         return self.fleet.rng.choice([0.0, 0.05, 0.3])
 
-    async def _commit_elsewhere(self, transaction):
+    async def _commit_through_peer(self, transaction):
         return None
 
     def _client(self):
@@ -166,7 +166,7 @@
         if self.fleet.leaders() == [self]:
             return None
         try:
-            return await self._client().copy("n", batch_id)
+            return await self._client().fetch_batch("n", batch_id)
         except calls.PeerError:
             return None
 
@@ -203,7 +203,7 @@
     def _restart(self, nursery, place):
         old = self.nodes[place]
         old.scope.cancel()
-        new = self.nodes[place] = Node(self, old.feed.node, old.is_leader)
+        new = self.nodes[place] = Node(self, old.mirror.node, old.is_leader)
         self.set_interest(new)
         nursery.start_soon(new.run)
 
@@ -270,7 +270,7 @@
     async def add(self, is_leader):
         """Returns a further node that has read the store's keys."""
         node = Node(self.fleet, "late", is_leader)
-        self.nursery.start_soon(node.feed.run)
+        self.nursery.start_soon(node.mirror.run)
         await trio.sleep(1)
         return node
 
