--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -228,8 +228,8 @@
     Break(
         "an answer that names no request is nobody's",
         "platform/servers.py",
-        "is_nameless_refusal = echoed is None and answer.not_run",
-        "is_nameless_refusal = echoed is None",
+        "is_refusal_without_id = echoed is None and answer.not_run",
+        "is_refusal_without_id = echoed is None",
         SITE + "test_calls.CallTest.test_lost_answer",
     ),
     Break(
--- a/src/kingcupscale/platform/__init__.py
+++ b/src/kingcupscale/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls, and nothing else."""
+"""Adapter to the platform: all its names, formats and calls are in here."""
--- a/src/kingcupscale/platform/cloud.py
+++ b/src/kingcupscale/platform/cloud.py
@@ -1,4 +1,4 @@
-"""The platform's interface for usage reports and for ordering servers."""
+"""Client of the platform's cloud API for usage reports and server orders."""
 
 from kingcupscale.capacity import fleetsize
 from kingcupscale.platform import names
@@ -14,8 +14,8 @@
     """Sends usage reports and orders over HTTP.
 
     Args:
-        http_client: Carries the calls.
-        address: ``host:port`` of the interface.
+        http_client: The HTTP client.
+        address: ``host:port`` of the API.
     """
 
     def __init__(
@@ -27,7 +27,7 @@
     async def report(
         self, window: int, counts: dict[str, int], holder: tenures.Holder
     ) -> None:
-        """Sends one window's figures."""
+        """Reports the counts of one usage window."""
         body = {"window": window, "counts": counts}
         try:
             response = await self._post("/usage", body, holder)
@@ -43,7 +43,7 @@
     async def order(
         self, order: fleetsize.Order, holder: tenures.Holder
     ) -> fleetsize.OrderState:
-        """Orders a number of servers."""
+        """Orders the number of servers that a service should have."""
         body = {
             "service": order.service,
             "zone": order.zone,
@@ -59,7 +59,8 @@
             raise fleetsize.OrderError("the duty is not held") from e
         if response.status == 200:
             return fleetsize.OrderState.TAKEN
-        # 409 is either a newer holder or that there are none to be had.
+        # 409 means that a newer holder has sent orders or that the cloud has no
+        # servers available.
         if response.status == 409:
             return fleetsize.OrderState.REFUSED
         raise fleetsize.OrderError(f"status {response.status}")
--- a/src/kingcupscale/platform/deployfile.py
+++ b/src/kingcupscale/platform/deployfile.py
@@ -1,4 +1,4 @@
-"""The deploy file, checked before the platform reads it."""
+"""Validates a deploy file before it is given to the platform."""
 
 import pathlib
 import shlex
@@ -18,17 +18,18 @@
     "template",
     "env",
 }
-SERVED = ("front", "store", "control")
+INTERFACES = ("front", "store", "control")
 
 
 def check(path: str) -> list[str]:
-    """Returns what is wrong with a deploy file; nothing if it is sound.
+    """Returns the problems of a deploy file, an empty list if it is valid.
 
     Args:
-        path: The file; programs are looked for above its folder.
+        path: The file. Its programs are looked up relative to the parent of
+            its folder.
 
     Raises:
-        SettingsError: If it cannot be read.
+        SettingsError: If the file cannot be read.
     """
     document = settings.read_toml(path)
     root = pathlib.Path(path).resolve().parent.parent
@@ -40,7 +41,7 @@
         return [*problems, "roles: found none, expected one or more"]
     for name, role in roles.items():
         problems += [f"roles.{name}.{p}" for p in _check_role(role, root)]
-    return problems + _check_together(roles)
+    return problems + _check_combination(roles)
 
 
 def _check_role(role: dict[str, Any], root: pathlib.Path) -> list[str]:
@@ -63,15 +64,15 @@
     if share is not None and not 0 < share <= 1:
         problems.append(f"share: found {share}, expected above 0, at most 1")
     for served in role.get("serves", ()):
-        if served not in SERVED:
-            problems.append(f"serves: found {served!r}")
+        if served not in INTERFACES:
+            problems.append(f"serves: found unknown interface {served!r}")
     port = str(role.get("metrics", "1/x")).partition("/")[0]
     if not port.isdigit():
         problems.append("metrics: expected PORT/PATH")
     return problems
 
 
-def _check_together(roles: dict[str, dict[str, Any]]) -> list[str]:
+def _check_combination(roles: dict[str, dict[str, Any]]) -> list[str]:
     problems = []
     serving = [
         (served, role.get("on"))
@@ -80,11 +81,13 @@
     ]
     for served in ("front", "store"):
         if served not in [s for s, _ in serving]:
-            problems.append(f"roles: none serves {served}")
+            problems.append(f"roles: expected a role that serves {served}")
     if len(set(serving)) != len(serving):
-        problems.append("roles: two on one class serve the same")
+        problems.append(
+            "roles: two roles on one class of machines serve the same interface"
+        )
     classes = [role.get("on") for role in roles.values()]
     for name in sorted({c for c in classes if c}):
         if classes.count(name) > ROLES_PER_MACHINE:
-            problems.append(f"roles: more than two on {name}")
+            problems.append(f"roles: expected at most two on {name}")
     return problems
--- a/src/kingcupscale/platform/documents.py
+++ b/src/kingcupscale/platform/documents.py
@@ -1,4 +1,4 @@
-"""Documents in the platform's store, decoded into the product's types."""
+"""Decodes and encodes the platform's JSON documents."""
 
 import base64
 import re
@@ -11,12 +11,12 @@
 from kingcupscale.fleet import registry
 from kingcupscale.platform import names
 
-# What may stand in a request's first line and in its headers.
+# Characters allowed in a request line, a header name and a header value.
 _VISIBLE = re.compile(r"[!-~]+")
 _HEADER_NAME = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
 _HEADER_VALUE = re.compile(r"[ -~\t]*")
 
-# The wire's kinds of route; a rollout route takes batches.
+# Kinds of route in a configuration. A rollout route accepts batches.
 _KINDS = {
     "idempotent": catalogue.RouteKind.IDEMPOTENT,
     "non_idempotent": catalogue.RouteKind.NON_IDEMPOTENT,
@@ -25,10 +25,10 @@
 
 
 def decode_catalogue(value: bytes) -> catalogue.Catalogue:
-    """Returns the configuration that an operator wrote.
+    """Decodes the configuration that an operator wrote.
 
     Raises:
-        ValueError: If it makes no sense.
+        ValueError: If it is invalid.
     """
     try:
         document = orjson.loads(value)
@@ -108,21 +108,22 @@
 
 
 def _decode_limits(limits: dict[str, Any]) -> catalogue.Limits:
-    usual = catalogue.Limits()
+    defaults = catalogue.Limits()
     return catalogue.Limits(
-        header_bytes=int(limits.get("maxHeaderBytes", usual.header_bytes)),
-        body_bytes=int(limits.get("maxBodyBytes", usual.body_bytes)),
-        header_s=float(limits.get("headerTimeoutMs", usual.header_s * 1000))
+        header_bytes=int(limits.get("maxHeaderBytes", defaults.header_bytes)),
+        body_bytes=int(limits.get("maxBodyBytes", defaults.body_bytes)),
+        header_s=float(limits.get("headerTimeoutMs", defaults.header_s * 1000))
+        / 1000,
+        idle_s=float(limits.get("idleTimeoutMs", defaults.idle_s * 1000))
         / 1000,
-        idle_s=float(limits.get("idleTimeoutMs", usual.idle_s * 1000)) / 1000,
     )
 
 
 def decode_server(server_id: str, value: bytes) -> registry.ServerEntry:
-    """Returns what a backend server entered of itself.
+    """Decodes the entry that a backend server registered for itself.
 
     Raises:
-        ValueError: If it comes from another writer or cannot be read.
+        ValueError: If it is invalid, such as one from another writer.
     """
     try:
         entry = orjson.loads(value)
@@ -139,18 +140,21 @@
             address=address,
             zone=entry["zone"],
             state=registry.ServerState(entry["state"]),
-            slots=_whole(entry, "slots"),
-            start_ms=_whole(entry, "born", 0),
-            # "sequence" counts its entries here, and its orders in reports.
+            slots=_non_negative(entry, "slots"),
+            start_ms=_non_negative(entry, "born", 0),
+            # The field "sequence" is not used: in an entry it counts the
+            # server's entries, but in a report the orders that it accepted.
             versions=decode_versions(entry.get("models", ())),
             is_spot=bool(entry.get("spot", False)),
-            warmup_s=_whole(entry, "coldRemainingMs", 0) / 1000,
+            warmup_s=_non_negative(entry, "coldRemainingMs", 0) / 1000,
         )
     except (KeyError, TypeError, AttributeError) as e:
         raise ValueError(f"server entry: {e!r}") from e
 
 
-def _whole(entry: dict[str, Any], name: str, default: int | None = None) -> int:
+def _non_negative(
+    entry: dict[str, Any], name: str, default: int | None = None
+) -> int:
     value = entry[name] if default is None else entry.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
         raise ValueError(f"{name} {value!r}")
@@ -163,10 +167,10 @@
 
 
 def decode_target_version(value: bytes) -> tuple[str, int]:
-    """Returns the model and the weight version that a trainer named.
+    """Decodes the model and the target weight version that a trainer set.
 
     Raises:
-        ValueError: If it makes no sense.
+        ValueError: If it is invalid.
     """
     try:
         document = orjson.loads(value)
@@ -176,17 +180,17 @@
 
 
 def encode_retirement_state(state: str) -> bytes:
-    """Returns the state of a VM's retirement."""
+    """Encodes the state of a VM's retirement."""
     return orjson.dumps({"state": state})
 
 
 def decode_batch(
     batch_id: str, organisation: str, route: catalogue.Route, body: bytes
 ) -> batch.Batch:
-    """Returns a batch as a trainer sent it.
+    """Decodes a batch from the body of a trainer's request.
 
     Raises:
-        ValueError: With what is wrong with it.
+        ValueError: If it is invalid, with the reason.
     """
     try:
         document = orjson.loads(body)
@@ -224,24 +228,24 @@
             path=_path(scorer),
             body=_base64(scorer["body"]),
         ),
-        length_hint=_read_hint(headers),
+        length_hint=_length_hint(headers),
     )
 
 
 def _headers(fields: dict[str, Any]) -> dict[str, str]:
-    """Returns an item's headers but those that are not its sender's to set."""
+    """Returns an item's headers without those that only nodes may set."""
     headers = {}
     for name, value in fields.items():
         if not isinstance(value, str) or not _HEADER_VALUE.fullmatch(value):
-            raise ValueError(f"header {name[:40]!r} must be printable text")
+            raise ValueError(f"header {name[:40]!r} must be printable ASCII")
         if not _HEADER_NAME.fullmatch(name):
-            raise ValueError(f"{name[:40]!r} is no name of a header")
+            raise ValueError(f"{name[:40]!r} is not a valid header name")
         headers[name.lower()] = value
     dropped = names.CONNECTION_HEADERS | names.OWN_REQUEST_HEADERS
     return {n: value for n, value in headers.items() if n not in dropped}
 
 
-def _read_hint(headers: dict[str, str]) -> int:
+def _length_hint(headers: dict[str, str]) -> int:
     value = headers.get(names.LENGTH_HINT, "").strip()
     return int(value) if value.isdigit() else 0
 
@@ -249,14 +253,14 @@
 def _path(fields: dict[str, Any]) -> str:
     path = _text(fields, "path")
     if not path.startswith("/"):
-        raise ValueError("a path begins with a slash")
+        raise ValueError("a path must begin with a slash")
     return path
 
 
 def _text(fields: dict[str, Any], name: str) -> str:
     value = fields[name]
     if not isinstance(value, str) or not _VISIBLE.fullmatch(value):
-        raise ValueError(f"{name} must be visible text without spaces")
+        raise ValueError(f"{name} must be printable ASCII without spaces")
     return value
 
 
@@ -269,7 +273,7 @@
 def encode_results(
     total: int, results: list[batch.Result], after: int
 ) -> bytes:
-    """Returns results from a position on, as readers get them."""
+    """Encodes a page of results for a reader, starting at a position."""
     return orjson.dumps(
         {
             "total": total,
--- a/src/kingcupscale/platform/frontend.py
+++ b/src/kingcupscale/platform/frontend.py
@@ -1,4 +1,4 @@
-"""Callers' requests on the platform's wire, and the answers to them."""
+"""HTTP handler for callers: decodes requests and encodes responses."""
 
 from collections.abc import Callable
 import urllib.parse
@@ -14,17 +14,17 @@
 from kingcupscale.platform import names
 from kingcupscale.web import message
 
-# For requests that do not say how long their callers wait.
-USUAL_PATIENCE_S = 10.0
+# For requests without a deadline header.
+DEFAULT_DEADLINE_S = 10.0
 
 
 class Frontend:
-    """A handler for callers.
+    """Handles the HTTP requests of callers.
 
     Args:
-        service: Answers the decoded requests.
-        clock: Tells the time.
-        is_draining: Tells whether connections are to be closed.
+        service: Handles the decoded requests.
+        clock: Source of time.
+        is_draining: Returns whether responses should close connections.
     """
 
     def __init__(
@@ -102,7 +102,7 @@
         request_id = request.headers.get(names.REQUEST_ID, "")
         if not request_id:
             raise errors.ServiceError(
-                errors.ResultCode.HEADER_INVALID, "a request needs an id"
+                errors.ResultCode.HEADER_INVALID, "expected a request id header"
             )
         resume_after = request.headers.get(names.RESUME_AFTER, "")
         dropped = names.CONNECTION_HEADERS | names.OWN_REQUEST_HEADERS
@@ -126,7 +126,7 @@
 
 
 def _patience_s(request: message.Request) -> float:
-    return _milliseconds(request, names.DEADLINE_MS, USUAL_PATIENCE_S)
+    return _milliseconds(request, names.DEADLINE_MS, DEFAULT_DEADLINE_S)
 
 
 def _milliseconds(
@@ -143,20 +143,21 @@
 def _decode_position(value: str) -> int:
     if not value.isdigit():
         raise errors.ServiceError(
-            errors.ResultCode.HEADER_INVALID, f"position {value[:20]!r}"
+            errors.ResultCode.HEADER_INVALID,
+            f"position: expected a number, found {value[:20]!r}",
         )
     return int(value)
 
 
 def encode_error(error: errors.ServiceError) -> message.Response:
-    """Returns the response that shows an error."""
+    """Returns the response for an error."""
     response = message.Response(
         error.code.status,
         {"content-type": "application/json"},
         orjson.dumps(error.to_body()),
     )
     if error.code.status == 503:
-        # Fractions of a second are understood here.
+        # The platform's callers accept fractions of a second.
         seconds = error.retry_after_s if error.retry_after_s else 0.5
         response.headers["retry-after"] = f"{seconds:g}"
     return response
--- a/src/kingcupscale/platform/names.py
+++ b/src/kingcupscale/platform/names.py
@@ -1,4 +1,4 @@
-"""Headers, paths and keys as they stand on the wire."""
+"""The platform's names of headers, paths and store keys."""
 
 REQUEST_ID = "x-kingcupscale-request-id"
 DEADLINE_MS = "x-kingcupscale-deadline-ms"
@@ -32,8 +32,8 @@
 RETIREMENTS_PREFIX = "op/retire/"
 RETIREMENT_STATES_PREFIX = "status/retire/"
 
-# Headers that concern one connection only, and those that nodes set
-# themselves, are not passed on in either direction.
+# Headers that concern one connection are not forwarded in either direction.
+# Request headers that nodes set themselves are removed from senders' requests.
 CONNECTION_HEADERS = frozenset(
     {
         "connection",
--- a/src/kingcupscale/platform/process.py
+++ b/src/kingcupscale/platform/process.py
@@ -1,4 +1,4 @@
-"""A node's process on the platform: clients, listeners and signals."""
+"""Runs a node as a process: HTTP clients, listeners and signals."""
 
 import functools
 import gc
@@ -33,13 +33,13 @@
 from kingcupscale.web import message
 from kingcupscale.web import server
 
-# Servers close idle connections; one that is idle this long is not reused.
+# Servers close idle connections, so one that was idle this long is not reused.
 SERVER_IDLE_S = 8.0
 STORE_IDLE_S = 20.0
-# A transaction of another node has 32 values of a megabyte at the most, which
-# travel as base64.
+# A node may send a transaction to another one to commit. It has at most 32
+# values of one megabyte, encoded as base64.
 PEER_BODY_BYTES = 64 * 1024 * 1024
-GC_ALLOCATIONS = 50_000
+GC_THRESHOLD = 50_000
 
 KEYS = dependencies.Keys(
     names.CONFIGURATION_KEY,
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class Exchangers:
-    """What carries a node's calls, by whom they go to."""
+    """The HTTP clients of a node, one for each kind of destination."""
 
     store: httpclient.HttpClient
     servers: httpclient.HttpClient
@@ -72,13 +72,13 @@
     clock: clocks.Clock,
     rng: random.Random,
 ) -> runtimes.Runtime:
-    """Returns a node that speaks the platform's wire.
+    """Returns a node whose clients use the platform's protocols.
 
     Args:
-        settings: What it is told.
-        exchangers: What carries its calls.
-        clock: Tells the time.
-        rng: Decides among equals.
+        settings: The node's settings.
+        exchangers: Its HTTP clients.
+        clock: Source of time.
+        rng: Breaks ties at random.
     """
     client = cloud.PlatformCloud(exchangers.cloud, settings.cloud)
     return runtimes.Runtime(
@@ -102,7 +102,7 @@
 
 
 def make_frontend(runtime: runtimes.Runtime) -> frontend.Frontend:
-    """Returns the handler for a node's callers."""
+    """Returns the HTTP handler for a node's callers."""
     return frontend.Frontend(
         runtime.callers, runtime.clock, lambda: runtime.is_draining
     )
@@ -110,12 +110,12 @@
 
 @attrs.frozen
 class Options:
-    """What a process is told beside its settings.
+    """Command-line options of a process.
 
     Attributes:
         path: The file that the settings were read from.
         metrics_port: Port for metrics; 0 for none.
-        lines: Where log lines go.
+        lines: Writes the log lines.
     """
 
     path: str
@@ -124,15 +124,17 @@
 
 
 async def run(settings: deployment.SiteSettings, options: Options) -> None:
-    """Runs a node until a signal begins its planned stop and that has ended.
+    """Runs a node until a signal stops it and the planned stop is complete.
+
+    A process that serves no callers only waits for the signal.
 
     Args:
-        settings: What it is told.
-        options: What it is told beside them.
+        settings: The node's settings.
+        options: The process's command-line options.
     """
     path = options.path
     gc.freeze()
-    gc.set_threshold(GC_ALLOCATIONS)
+    gc.set_threshold(GC_THRESHOLD)
     events.log(
         events.Event.NODE_STARTED,
         node=settings.node,
@@ -153,9 +155,9 @@
         settings, exchangers, clocks.SystemClock(), random.Random()
     )
     handler = make_frontend(runtime)
-    own_limits = limits.fixed(limits.Limits(body_bytes=PEER_BODY_BYTES))
+    internal_limits = limits.fixed(limits.Limits(body_bytes=PEER_BODY_BYTES))
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_await_signal, runtime, path)
+        nursery.start_soon(_drain_on_signal, runtime, path)
         await nursery.start(
             functools.partial(
                 server.serve,
@@ -168,16 +170,16 @@
         )
         await nursery.start(
             server.serve,
-            functools.partial(_answer_readiness, runtime),
+            functools.partial(_handle_readiness, runtime),
             settings.readiness,
-            own_limits,
+            internal_limits,
             runtime.stopped.wait,
         )
         await nursery.start(
             server.serve,
             runtime.handle_peer_request,
             settings.peers,
-            own_limits,
+            internal_limits,
             runtime.stopped.wait,
         )
         if options.metrics_port:
@@ -186,30 +188,30 @@
                 server.serve,
                 exposition.MetricsHandler(runtime, options.lines),
                 f"{host}:{options.metrics_port}",
-                own_limits,
+                internal_limits,
                 runtime.stopped.wait,
             )
         await runtime.run()
         events.log(events.Event.NODE_STOPPED, node=settings.node)
 
 
-async def _answer_readiness(
+async def _handle_readiness(
     runtime: runtimes.Runtime, request: message.Request
 ) -> message.Response:
     is_ready = request.path == names.READY_PATH and runtime.is_ready()
     return message.Response(200 if is_ready else 503)
 
 
-async def _await_signal(runtime: runtimes.Runtime, path: str) -> None:
+async def _drain_on_signal(runtime: runtimes.Runtime, path: str) -> None:
     await _wait_for_stop(path)
     runtime.drain_requested.set()
 
 
 async def _wait_for_stop(path: str) -> None:
-    """Waits for the signal to stop, and checks the settings at a reload.
+    """Waits for a signal to stop, and checks the settings file on SIGHUP.
 
-    What the settings name is fixed for the life of the process, so a reload
-    only tells whether the file could be used at the next start.
+    Settings do not change while the process runs. A reload only logs whether
+    the file is valid for the next start.
     """
     with trio.open_signal_receiver(
         signal.SIGTERM, signal.SIGINT, signal.SIGHUP
--- a/src/kingcupscale/platform/servers.py
+++ b/src/kingcupscale/platform/servers.py
@@ -1,4 +1,4 @@
-"""Calls to backend servers over the platform's wire."""
+"""HTTP client for backend servers."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -13,11 +13,11 @@
 from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
-# An order is acknowledged before it is carried out, so its answer is short.
+# A server acknowledges an order before it executes it, so it answers quickly.
 ORDER_TIMEOUT_S = 0.8
-# Reports name models and runs, in some ten bytes each.
+# A report lists models and runs, with about ten bytes each.
 MAX_REPORT_BYTES = 256 * 1024
-# An event holds a few tokens; a longer one never ends.
+# An event holds a few tokens. A longer one is assumed never to end.
 MAX_EVENT_BYTES = 64 * 1024
 
 _ORDER_OUTCOMES = {
@@ -32,7 +32,7 @@
     """A ``ServerClient`` over HTTP.
 
     Args:
-        http_client: Carries the calls.
+        http_client: The HTTP client.
     """
 
     def __init__(self, http_client: httpclient.HttpClient) -> None:
@@ -42,7 +42,7 @@
     async def run(
         self, server: registry.Server, call: serverclient.Call, connect_s: float
     ) -> AsyncIterator[serverclient.Answer]:
-        """Sends a request; leaving the context early abandons the answer."""
+        """Sends a request; leaving the context early cancels it."""
         request = message.Request(
             call.method,
             call.path,
@@ -57,15 +57,15 @@
             async with self.http_client.open(
                 server.entry.address, request, call.time_left_s
             ) as response:
-                _note_leaving(server, response)
+                _mark_leaving(server, response)
                 answer = _decode_answer(response)
                 echoed = response.headers.get(names.REQUEST_ID)
-                # Refusals need not name the request; all else does, and an
-                # answer that does not may belong to an earlier request.
-                is_nameless_refusal = echoed is None and answer.not_run
-                if echoed != call.request_id and not is_nameless_refusal:
+                # Every answer but a refusal must echo the request's id. One
+                # that does not may belong to an earlier request.
+                is_refusal_without_id = echoed is None and answer.not_run
+                if echoed != call.request_id and not is_refusal_without_id:
                     raise serverclient.ServerError(
-                        f"answer to another request, {echoed}", True
+                        f"answer has another request's id: {echoed}", True
                     )
                 yield answer
         except httpclient.RequestError as e:
@@ -76,7 +76,7 @@
     async def events(
         self, answer: serverclient.Answer
     ) -> AsyncIterator[serverclient.StreamEvent]:
-        """Yields the whole events of a streamed answer."""
+        """Yields the complete events of a streamed answer."""
         version = answer.version
         pending = b""
         async for piece in answer.body:
@@ -87,23 +87,24 @@
                 version = event.version
                 yield event
             if len(pending) > MAX_EVENT_BYTES:
-                raise serverclient.ServerError("an event without end", True)
+                raise serverclient.ServerError("event exceeds size limit", True)
         if pending.strip():
             raise serverclient.ServerError("stream ends inside an event", True)
 
     async def order(
         self, server: registry.Server, order: serverclient.VersionOrder
     ) -> serverclient.OrderOutcome:
-        """Gives an order and returns its ``OrderOutcome``."""
+        """Sends an order to load a weight version and returns its outcome."""
         body = {
             "op": "version",
             "model": order.model,
             "version": order.version,
-            # "retain" lets runs go on, "park" lets them finish first.
+            # With "retain" runs continue on the new version, with "park" the
+            # server waits until they have finished.
             "mode": "retain" if order.keeps_runs else "park",
             "holder": order.holder.node,
             "fence": order.holder.fence,
-            # The wire calls the count of accepted orders a revision here.
+            # The protocol calls the number of accepted orders a revision.
             "expectedRev": order.expected_sequence,
         }
         request = message.json_request(
@@ -118,7 +119,7 @@
     async def report(
         self, server: registry.Server
     ) -> serverclient.EngineReport:
-        """Returns how an engine stands."""
+        """Returns the status report of an engine."""
         request = message.Request(
             "GET", "/report", "", {names.EXPECT_SERVER: server.id}
         )
@@ -154,16 +155,18 @@
         except tenures.DutyLostError as e:
             raise serverclient.ServerError("duty not held", False) from e
         if names.SIGNATURE in response.headers:
-            # Only answers to requests are signed: a late copy of one of them.
+            # Servers sign only answers to callers' requests, so this is a late
+            # copy of such an answer.
             raise serverclient.ServerError("answer to another request", True)
-        _note_leaving(server, response)
+        _mark_leaving(server, response)
         return response
 
 
-def _note_leaving(server: registry.Server, response: message.Response) -> None:
-    """Tells a server that it leaves, if this answer is its own.
+def _mark_leaving(server: registry.Server, response: message.Response) -> None:
+    """Marks a server as leaving if its own answer says so.
 
-    Another server may have got the address; it answers 421 with its own id.
+    Another server may have been given the address. It answers 421 with its own
+    id.
     """
     if response.headers.get(names.SERVER_LEAVING, "").strip() != "1":
         return
@@ -200,30 +203,30 @@
             for name, value in headers.items()
             if name not in names.CONNECTION_HEADERS
         },
-        # Only this header, or a wrong server, says that nothing ran.
+        # Only this header, or the wrong server's 421, shows that nothing ran.
         not_run=names.NOT_RUN in headers or response.status == 421,
         wrong_server=response.status == 421,
         signature=headers.get(names.SIGNATURE, ""),
-        version=_whole(headers.get(names.WEIGHT_VERSION)) or 0,
+        version=_parse_int(headers.get(names.WEIGHT_VERSION)) or 0,
         load=_decode_load(headers.get(names.SERVER_LOAD)),
-        body=response.chunks or _no_pieces(),
+        body=response.chunks or _empty_body(),
     )
 
 
-async def _no_pieces() -> AsyncIterator[bytes]:
+async def _empty_body() -> AsyncIterator[bytes]:
     return
     yield b""
 
 
 def _decode_load(value: str | None) -> int | None:
-    """Returns requests running and waiting, of "running,waiting,slots"."""
-    numbers = [_whole(part) for part in (value or "").split(",")]
+    """Returns the running plus waiting requests of "running,waiting,slots"."""
+    numbers = [_parse_int(part) for part in (value or "").split(",")]
     if len(numbers) != 3 or None in numbers:
         return None
     return (numbers[0] or 0) + (numbers[1] or 0)
 
 
-def _whole(value: str | None) -> int | None:
+def _parse_int(value: str | None) -> int | None:
     text = (value or "").strip()
     return int(text) if text.isdigit() else None
 
@@ -235,11 +238,11 @@
         name, _, value = line.partition(":")
         value = value.removeprefix(" ")
         if name == "id":
-            number = _whole(value)
+            number = _parse_int(value)
         elif name == "data":
             data.append(value)
         elif name == names.WEIGHT_VERSION:
-            version = _whole(value) or version
+            version = _parse_int(value) or version
     if number is None:
-        raise serverclient.ServerError("an event without a number", True)
+        raise serverclient.ServerError("event without a numeric id", True)
     return serverclient.StreamEvent(number, "\n".join(data), version)
--- a/src/kingcupscale/platform/settingsfile.py
+++ b/src/kingcupscale/platform/settingsfile.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes, as the product's settings."""
+"""Reads the settings file that the platform writes for each process."""
 
 import pathlib
 
@@ -7,10 +7,10 @@
 
 
 def load(path: str) -> deployment.SiteSettings:
-    """Reads the file.
+    """Returns the settings of a file with one ``name=value`` on each line.
 
     Raises:
-        SettingsError: With everything that is missing or of the wrong form.
+        SettingsError: If fields are missing or invalid, with all problems.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
@@ -19,13 +19,13 @@
     reader = _Reader(_split(text))
     duties = reader.text("cloud.duties").split(",")
     loaded = deployment.SiteSettings(
-        node=reader.need("node"),
+        node=reader.required("node"),
         role=reader.text("role"),
-        zone=reader.need("zone"),
+        zone=reader.required("zone"),
         callers=reader.text("listen.front"),
         readiness=reader.text("listen.ready"),
         peers=reader.text("listen.control"),
-        store=reader.need("provider.address"),
+        store=reader.required("provider.address"),
         cloud=reader.text("cloud.address"),
         seeds=tuple(s for s in reader.text("seeds").split(",") if s),
         least_lease_s=reader.number("provider.ttlMinMs", 1000.0) / 1000,
@@ -41,20 +41,22 @@
 
 
 def _read_bounds(reader: "_Reader") -> deployment.Bounds:
-    usual = deployment.Bounds()
+    defaults = deployment.Bounds()
     return deployment.Bounds(
-        contact_s=reader.milliseconds("bounds.contactMs", usual.contact_s),
-        drain_s=reader.milliseconds("bounds.drainMs", usual.drain_s),
-        grace_s=reader.number("bounds.graceS", usual.grace_s),
-        apply_s=reader.milliseconds("bounds.configApplyMs", usual.apply_s),
+        contact_s=reader.milliseconds("bounds.contactMs", defaults.contact_s),
+        drain_s=reader.milliseconds("bounds.drainMs", defaults.drain_s),
+        grace_s=reader.number("bounds.graceS", defaults.grace_s),
+        apply_s=reader.milliseconds("bounds.configApplyMs", defaults.apply_s),
         apply_stretch_s=reader.milliseconds(
-            "bounds.stretchMaxMs", usual.apply_stretch_s
+            "bounds.stretchMaxMs", defaults.apply_stretch_s
+        ),
+        lease_s=reader.milliseconds("bounds.leaseMs", defaults.lease_s),
+        window_s=reader.number("bounds.reportWindowS", defaults.window_s),
+        late_s=reader.number("bounds.usageLateS", defaults.late_s),
+        cancel_s=reader.milliseconds("bounds.cancelMs", defaults.cancel_s),
+        retention_s=reader.number(
+            "bounds.statusRetentionS", defaults.retention_s
         ),
-        lease_s=reader.milliseconds("bounds.leaseMs", usual.lease_s),
-        window_s=reader.number("bounds.reportWindowS", usual.window_s),
-        late_s=reader.number("bounds.usageLateS", usual.late_s),
-        cancel_s=reader.milliseconds("bounds.cancelMs", usual.cancel_s),
-        retention_s=reader.number("bounds.statusRetentionS", usual.retention_s),
     )
 
 
@@ -64,7 +66,7 @@
 
 
 class _Reader:
-    """Reads fields and collects what is wrong with them."""
+    """Reads fields and collects the problems found in them."""
 
     def __init__(self, fields: dict[str, str]) -> None:
         self.fields = fields
@@ -73,7 +75,7 @@
     def text(self, name: str) -> str:
         return self.fields.get(name, "")
 
-    def need(self, name: str) -> str:
+    def required(self, name: str) -> str:
         value = self.text(name)
         if not value:
             self.problems.append(f"  {name}: found nothing, expected a value")
--- a/src/kingcupscale/platform/store.py
+++ b/src/kingcupscale/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store as the product's store."""
+"""HTTP client for the platform's metadata store."""
 
 import base64
 import collections
@@ -11,20 +11,20 @@
 from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
-# The store answers in milliseconds; a call that takes longer is given up and
-# its fate resolved by reading. From the sheet: 4 ms, slowed to 60 times that.
+# The store is specified to answer in 4 ms, or in 60 times that when it is slow.
+# A call that takes longer is abandoned, and a later read shows its outcome.
 CALL_TIMEOUT_S = 0.8
 
 
 class PlatformStore:
-    """Calls the metadata store over HTTP.
+    """A ``Store`` over HTTP.
 
     Args:
-        http_client: Carries the calls.
+        http_client: The HTTP client.
         address: ``host:port`` of the store.
 
     Attributes:
-        calls: Calls that were made, by the first part of their path.
+        calls: Number of calls, by the first segment of their path.
     """
 
     def __init__(
@@ -35,14 +35,14 @@
         self.calls: collections.Counter[str] = collections.Counter()
 
     async def get(self, key: str) -> stores.Entry | None:
-        """Returns one entry, or None if there is none."""
+        """Returns the entry of a key, or None if it does not exist."""
         status, body = await self._call("GET", "/kv-key", {"key": key})
         if status == 404:
             return None
         return _decode_entry(_expect_ok(status, body))
 
     async def scan(self, prefix: str, after: str = "") -> stores.Page:
-        """Returns a page of the entries under a prefix, past a key."""
+        """Returns a page of the entries under a prefix, after a key."""
         query = {"pathPrefix": prefix}
         if after:
             query["after"] = after
@@ -55,7 +55,7 @@
     async def watch(
         self, prefix: str, after: int, wait_s: float
     ) -> stores.Page:
-        """Returns changes past a revision, waiting for the first."""
+        """Long-polls for the changes after a revision."""
         query = {
             "pathPrefix": prefix,
             "after": str(after),
@@ -69,7 +69,11 @@
         return stores.Page(entries, _number(fields, "asOf"))
 
     async def commit(self, transaction: stores.Transaction) -> int | None:
-        """Returns the new revision, or None if a condition did not hold."""
+        """Commits a transaction.
+
+        Returns:
+            The new revision, or None if a condition did not hold.
+        """
         status, body = await self._call(
             "POST", "/kv-txn", {}, _encode_transaction(transaction)
         )
@@ -80,7 +84,7 @@
         return _number(_expect_ok(status, body), "revision")
 
     async def grant(self, ttl_s: float) -> int:
-        """Returns the number of a new lease."""
+        """Grants a lease and returns its number."""
         request = {"ttlMs": int(ttl_s * 1000)}
         status, body = await self._call("POST", "/kv-lease", {}, request)
         return _number(_expect_ok(status, body), "lease")
@@ -93,7 +97,7 @@
         _expect_ok(status, body)
 
     async def revoke(self, lease: int) -> None:
-        """Ends a lease and removes its keys."""
+        """Revokes a lease, which removes its keys."""
         status, body = await self._call("DELETE", f"/kv-lease-end/{lease}", {})
         if status == 404:
             raise stores.LeaseEndedError
@@ -132,12 +136,17 @@
 def _expect_ok(status: int, fields: dict[str, Any]) -> dict[str, Any]:
     if status == 200:
         return fields
-    # 429 and 503 say that nothing was done; so do refusals of the form.
+    # After 429, 503 or another status below 500 nothing was executed. After
+    # other statuses from 500 on the outcome is unknown.
     raise stores.StoreError(f"status {status}", 500 <= status != 503)
 
 
 def _number(fields: dict[str, Any], name: str) -> int:
-    """Returns a number of an answer; without it, what was done is unknown."""
+    """Returns a numeric field of an answer.
+
+    Raises:
+        StoreError: If it is missing; the call's outcome is then unknown.
+    """
     value = fields.get(name)
     if not isinstance(value, int):
         raise stores.StoreError(f"unreadable {name}: {value!r}"[:200], True)
@@ -176,7 +185,7 @@
             {
                 "key": put.key,
                 "value": base64.b64encode(put.value).decode(),
-                # The wire calls no lease 0.
+                # 0 means no lease in the store's protocol too.
                 "lease": put.lease,
             }
             for put in transaction.puts
