--- a/src/kingcupscale/platform/process.py
+++ b/src/kingcupscale/platform/process.py
@@ -57,7 +57,7 @@
 
 
 @attrs.frozen
-class Exchangers:
+class HttpClients:
     """The HTTP clients of a node, one for each kind of destination."""
 
     store: httpclient.HttpClient
@@ -68,7 +68,7 @@
 
 def make_runtime(
     settings: deployment.SiteSettings,
-    exchangers: Exchangers,
+    clients: HttpClients,
     clock: clocks.Clock,
     rng: random.Random,
 ) -> runtimes.Runtime:
@@ -76,25 +76,25 @@
 
     Args:
         settings: The node's settings.
-        exchangers: Its HTTP clients.
+        clients: Its HTTP clients.
         clock: Source of time.
         rng: Breaks ties at random.
     """
-    client = cloud.PlatformCloud(exchangers.cloud, settings.cloud)
+    client = cloud.PlatformCloud(clients.cloud, settings.cloud)
     return runtimes.Runtime(
         settings,
         dependencies.Dependencies(
-            store.PlatformStore(exchangers.store, settings.store),
-            servers.PlatformServers(exchangers.servers),
+            store.PlatformStore(clients.store, settings.store),
+            servers.PlatformServers(clients.servers),
             client,
             client,
             clock,
             rng,
-            relay.HttpRelayClient(exchangers.peers),
-            commits.HttpCommitClient(exchangers.peers),
-            handover.HttpCopyClient(exchangers.peers),
-            loads.HttpLoadClient(exchangers.peers),
-            counts.HttpCountsClient(exchangers.peers),
+            relay.HttpRelayClient(clients.peers),
+            commits.HttpCommitClient(clients.peers),
+            handover.HttpCopyClient(clients.peers),
+            loads.HttpLoadClient(clients.peers),
+            counts.HttpCountsClient(clients.peers),
             KEYS,
             DECODERS,
         ),
@@ -145,14 +145,14 @@
     if not settings.callers:
         await _wait_for_stop(path)
         return
-    exchangers = Exchangers(
+    clients = HttpClients(
         httpclient.PooledHttpClient(idle_s=STORE_IDLE_S),
         httpclient.PooledHttpClient(idle_s=SERVER_IDLE_S),
         httpclient.PooledHttpClient(idle_s=SERVER_IDLE_S),
         httpclient.PooledHttpClient(idle_s=SERVER_IDLE_S),
     )
     runtime = make_runtime(
-        settings, exchangers, clocks.SystemClock(), random.Random()
+        settings, clients, clocks.SystemClock(), random.Random()
     )
     handler = make_frontend(runtime)
     internal_limits = limits.fixed(limits.Limits(body_bytes=PEER_BODY_BYTES))
--- a/tests/platform/harness.py
+++ b/tests/platform/harness.py
@@ -135,10 +135,10 @@
             orders_servers=False,
             bounds=deployment.Bounds(),
         )
-        carrier = networks.MemoryExchanger(site.network, name)
+        client = networks.MemoryExchanger(site.network, name)
         self.runtime = process.make_runtime(
             settings,
-            process.Exchangers(carrier, carrier, carrier, carrier),
+            process.HttpClients(client, client, client, client),
             site.clock,
             random.Random(name),
         )
