--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -10,12 +10,12 @@
 from kingcupscale import events
 from kingcupscale import metrics
 from kingcupscale.batches import batch as batches
-from kingcupscale.batches import book as books
+from kingcupscale.batches import cache as caches
 from kingcupscale.batches import generation
-from kingcupscale.batches import listing
-from kingcupscale.batches import migration
+from kingcupscale.batches import moving
 from kingcupscale.batches import placement
 from kingcupscale.batches import record as records
+from kingcupscale.batches import resultwriter
 from kingcupscale.batches import sample as samples
 from kingcupscale.batches import scoring
 from kingcupscale.batches import sendguard
@@ -50,7 +50,7 @@
 
     Args:
         service: Name of the service.
-        book: The batches.
+        batch_cache: The batches.
         servers: The backend servers.
         client: Calls them.
         forward: Passes scoring calls on.
@@ -72,7 +72,7 @@
     def __init__(
         self,
         service: str,
-        book: books.Book,
+        batch_cache: caches.BatchCache,
         servers: registry.ServerRegistry,
         client: serverclient.ServerClient,
         forward: forwarder.Forwarder,
@@ -84,7 +84,7 @@
         guard = sendguard.SendGuard(view)
         self.view = view
         self.service = service
-        self.book = book
+        self.batch_cache = batch_cache
         self.servers = servers
         self.generator = generation.Generator(client, clock, guard, self._fail)
         self.scorer = scoring.Scorer(
@@ -95,8 +95,8 @@
             self._finish,
             self._fail,
         )
-        self.lister = listing.Lister(
-            service, book, clock, self._samples_to_list
+        self.result_writer = resultwriter.ResultWriter(
+            service, batch_cache, clock, self._samples_to_list
         )
         self.measures = measures
         self.clock = clock
@@ -131,7 +131,7 @@
             for sample in [*self.open_samples(), *self.released_samples]
             if sample.record.batch.model == model
             and (sample.events or sample.result)
-            and not sample.record.is_listed(sample.id)
+            and not sample.record.has_result(sample.id)
         ]
 
     def _samples_to_list(self) -> list[samples.Sample]:
@@ -139,7 +139,7 @@
             sample
             for sample in self.released_samples
             if sample.record.is_open()
-            and not sample.record.is_listed(sample.id)
+            and not sample.record.has_result(sample.id)
         ]
         return [*self.open_samples(), *self.released_samples]
 
@@ -177,7 +177,7 @@
             sample.result = self.copied_results.pop(key)
             sample.stage = samples.Stage.FINISHED
             sample.scope.cancel()
-            self.lister.finished.set()
+            self.result_writer.has_results.set()
         elif (
             sample.stage is not samples.Stage.SCORING
             and len(text) > len(sample.events) + ADOPTED_LEAD
@@ -208,7 +208,7 @@
     async def run(self) -> None:
         """Runs batches while active, until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.lister.run)
+            nursery.start_soon(self.result_writer.run)
             while True:
                 self._follow_batches()
                 self.dispatch(nursery)
@@ -228,7 +228,7 @@
             is_over = not progress.record.is_open()
             if is_over or not self.is_active(progress.record.batch.model):
                 self._let_go(progress)
-        for batch_id, record in list(self.book.records.items()):
+        for batch_id, record in list(self.batch_cache.records.items()):
             is_ours = self.is_active(record.batch.model)
             is_known = batch_id in self.progress
             if is_ours and not is_known and record.is_open():
@@ -241,16 +241,16 @@
         the batch's model is set; only the new object hears of changes.
         """
         for batch_id, progress in self.progress.items():
-            held = self.book.records.get(batch_id)
-            if held is None and self.book.has_end(batch_id):
-                progress.record.note_ended()
+            held = self.batch_cache.records.get(batch_id)
+            if held is None and self.batch_cache.has_end(batch_id):
+                progress.record.mark_ended()
             if held is None or held is progress.record:
                 continue
             progress.record = held
             for sample in progress.samples.values():
                 sample.record = held
         for sample in self.released_samples:
-            held = self.book.records.get(sample.record.batch.id)
+            held = self.batch_cache.records.get(sample.record.batch.id)
             sample.record = held or sample.record
 
     def _let_go(self, progress: Progress) -> None:
@@ -275,7 +275,7 @@
             unfinished=[
                 [s.id, s.stage.value, s.server, len(s.events)]
                 for s in progress.samples.values()
-                if not progress.record.is_listed(s.id)
+                if not progress.record.has_result(s.id)
             ][:20],
         )
 
@@ -339,7 +339,7 @@
             for s in self.servers.list_servers(self.service)
             if s.is_usable(now)
         ]
-        for choice in placement.choose_each(
+        for choice in placement.place_by_slack(
             waiting, usable, self.prompts, now, now_ms, self.generator.token_s
         ):
             choice.sample.stage = samples.Stage.GENERATING
@@ -364,19 +364,19 @@
         taken = len(waiting)
         event_s = self.generator.event_s
         least_s = event_s * min(
-            placement.finish_cost(s, now, False) for s in free
+            placement.completion_cost(s, now, False) for s in free
         )
         for sample in self.open_samples():
             if sample.stage is not samples.Stage.GENERATING:
                 continue
-            pace = migration.RunProgress(
+            pace = moving.RunProgress(
                 sample.run_events,
                 len(sample.events),
-                sample.event_s(now),
+                sample.seconds_per_event(now),
                 sample.moves,
             )
             expected = sample.expected_tokens() / self.generator.event_tokens
-            if not migration.should_migrate(pace, least_s, expected):
+            if not moving.should_move(pace, least_s, expected):
                 continue
             here = self.servers.servers.get(sample.server)
             others = [
@@ -387,14 +387,14 @@
             room = sum(s.entry.slots - s.in_flight for s in others)
             if not others or here is None or room <= taken:
                 continue
-            best = min(placement.finish_cost(s, now, False) for s in others)
-            if migration.should_migrate(pace, best * event_s, expected):
+            best = min(placement.completion_cost(s, now, False) for s in others)
+            if moving.should_move(pace, best * event_s, expected):
                 sample.moves += 1
                 taken += 1
                 here.update_relative_latency(pace.event_s / max(1e-6, event_s))
                 sample.run_scope.cancel()
 
-    def _note_prompt(self, choice: placement.Choice) -> None:
+    def _note_prompt(self, choice: placement.Assignment) -> None:
         if len(self.prompts) > TEXTS_KEPT:
             self.prompts.clear()
         group = choice.sample.item.group
@@ -407,7 +407,7 @@
             if is_waiting and age_s > sample.route.max_age_s:
                 self._fail(sample, "too old")
 
-    async def _run_guarded(self, choice: placement.Choice) -> None:
+    async def _run_guarded(self, choice: placement.Assignment) -> None:
         """Runs a sample; an unexpected error ends only this run."""
         try:
             await self._run_sample(choice)
@@ -421,7 +421,7 @@
             choice.sample.stage = samples.Stage.WAITING
             choice.sample.not_before = self.clock.monotonic() + ERROR_PAUSE_S
 
-    async def _run_sample(self, choice: placement.Choice) -> None:
+    async def _run_sample(self, choice: placement.Assignment) -> None:
         sample, server = choice.sample, choice.server
         is_whole = False
         with sample.scope:
@@ -446,10 +446,10 @@
             metrics.Measure.SAMPLE_MS,
             1000 * self._age_s(sample.record),
         )
-        self.lister.finished.set()
+        self.result_writer.has_results.set()
 
     def _fail(self, sample: samples.Sample, reason: str) -> None:
         """Makes the result of a sample that can't be done."""
         sample.fail()
         events.log(events.Event.SAMPLE_FAILED, item=sample.id, reason=reason)
-        self.lister.finished.set()
+        self.result_writer.has_results.set()
--- a/src/kingcupscale/batches/source.py
+++ b/src/kingcupscale/batches/fetching.py
@@ -17,10 +17,10 @@
 RETRY_AFTER_S = 0.5
 
 # Returns another node's copy of a batch, if one has it.
-FetchCopy = Callable[[str], Awaitable[records.RecordCopy | None]]
+FetchSnapshot = Callable[[str], Awaitable[records.RecordSnapshot | None]]
 
 
-class Source:
+class BatchFetcher:
     """Gets batches, and brings them up to date.
 
     Args:
@@ -35,12 +35,12 @@
         feed: feeds.Feed,
         store: detour.DetourStore,
         clock: clocks.Clock,
-        fetch_copy: FetchCopy,
+        fetch_snapshot: FetchSnapshot,
     ) -> None:
         self.feed = feed
         self.store = store
         self.clock = clock
-        self.fetch_copy = fetch_copy
+        self.fetch_snapshot = fetch_snapshot
 
     async def fetch(
         self, batch_id: str, asks_nodes: bool
@@ -63,7 +63,7 @@
         except stores.StoreError as e:
             reason = e.reason
         if asks_nodes and await self._is_refreshed_by_followed_node():
-            key = records.key_of(batch_id, records.SPECIFICATION, "0")
+            key = records.batch_key(batch_id, records.SPECIFICATION, "0")
             if key not in self.feed.entries:
                 return None
             copy = await self._fetch_current_copy(batch_id)
@@ -77,14 +77,14 @@
 
     async def _fetch_current_copy(self, batch_id: str) -> records.Record | None:
         """Returns another node's state, if it is as new as the mirror."""
-        key = records.key_of(batch_id, records.SPECIFICATION, "0")
+        key = records.batch_key(batch_id, records.SPECIFICATION, "0")
         if key not in self.feed.entries:
             return None
         revision = self.feed.revision
-        copy = await self.fetch_copy(batch_id)
+        copy = await self.fetch_snapshot(batch_id)
         if copy is None or copy.revision < revision:
             return None
-        return records.from_copy(copy)
+        return records.from_snapshot(copy)
 
     async def _scan(self, batch_id: str) -> records.Record | None:
         """Reads a batch from the store; None if there is none."""
@@ -101,12 +101,12 @@
             return None
         await self._read_results(record)
         if is_ended:
-            record.note_ended()
+            record.mark_ended()
         return record
 
     async def _head_entries(self, batch_id: str) -> list[stores.Entry]:
         """Returns a batch's end and specification, both of one state."""
-        prefix = records.key_of(batch_id, "")
+        prefix = records.batch_key(batch_id, "")
         found = await self.entries(prefix)
         has_end = any(e.key == prefix + records.END for e in found)
         if has_end or all(e.created == e.revision for e in found):
@@ -137,10 +137,10 @@
             ServiceError: ``STORE_UNAVAILABLE``.
         """
         # What changes from here on is heard of, unless a miss is noted.
-        misses = record.misses
+        missed_updates = record.missed_updates
         try:
             await self._read_results(record)
-            if record.misses == misses:
+            if record.missed_updates == missed_updates:
                 record.is_current = True
             return
         except stores.StoreError as e:
@@ -163,7 +163,7 @@
             after = records.result_key(record.batch.id, last)
         for entry in await self.entries(prefix, after):
             first = int(entry.key.removeprefix(prefix))
-            record.take_value(first, entry.value or b"")
+            record.add_encoded_chunk(first, entry.value or b"")
 
     async def _take_copy(self, record: records.Record) -> None:
         """Adds what another node has listed.
@@ -171,15 +171,15 @@
         Raises:
             ServiceError: ``STORE_UNAVAILABLE`` if none can tell.
         """
-        misses = record.misses
+        missed_updates = record.missed_updates
         copy = await self._fetch_current_copy(record.batch.id)
         if copy is None:
             raise errors.ServiceError(
                 errors.ResultCode.STORE_UNAVAILABLE, retry_after_s=RETRY_AFTER_S
             )
         known = len(record.results)
-        record.take_chunk(known, copy.results[known:])
-        if record.misses == misses:
+        record.add_chunk(known, copy.results[known:])
+        if record.missed_updates == missed_updates:
             record.is_current = True
 
     async def _is_refreshed_by_followed_node(self) -> bool:
--- a/tests/platform/test_ended.py
+++ b/tests/platform/test_ended.py
@@ -5,7 +5,7 @@
 import parameterized
 import trio
 
-from kingcupscale.batches import keeper
+from kingcupscale.batches import maintenance
 from kingcupscale.batches import sample as samples
 from kingcupscale.platform import names
 from kingcupscale.storage import store as stores
@@ -122,7 +122,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(generator.run, sample, server)
                 await trio.sleep(0)
-                sample.record.note_ended()
+                sample.record.mark_ended()
             self.assertEqual(len(site.runs), began)
             self.assertEqual(server.failures, 0)
 
@@ -178,15 +178,15 @@
             and not n.runtime.is_leader()
         )
         await site.submit(node)
-        book = node.runtime.book
-        book.reads["b1"] -= keeper.READ_KEPT_S
+        batch_cache = node.runtime.batch_cache
+        batch_cache.last_read_at["b1"] -= maintenance.READ_TTL_S
         # Until its interest is set, nothing but the read keeps the batch.
         node.runtime.models[DUTY].take_over(holder.name)
-        before = book.records["b1"]
+        before = batch_cache.records["b1"]
         with trio.move_on_after(0.01):
-            await keeper.Keeper(book, site.clock).run()
+            await maintenance.CacheMaintainer(batch_cache, site.clock).run()
         await trio.sleep(0.5)
-        self.assertIsNot(book.records["b1"], before)
+        self.assertIsNot(batch_cache.records["b1"], before)
         return node
 
     @virtual.on_virtual_time
@@ -214,7 +214,7 @@
             texts = [len(s.events) for s in coordinator.open_samples()]
             self.assertGreater(min(texts), 15)
             held = {s.record for s in coordinator.open_samples()}
-            self.assertEqual(held, {node.runtime.book.records["b1"]})
+            self.assertEqual(held, {node.runtime.batch_cache.records["b1"]})
             results = await site.read_all(site.other(node))
             self.assertEqual(
                 [r["text"] for r in results], [harness.text_of(60)] * 4
