--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -36,7 +36,7 @@
     Break(
         "a reader hears of results without the store",
         "batches/cache.py",
-        "self.feed.ask_anew()",
+        "self.mirror.restart_follow()",
         "pass",
         CACHE,
     ),
@@ -56,7 +56,7 @@
     ),
     Break(
         "no result is missed after lost history",
-        "storage/feed.py",
+        "storage/mirror.py",
         "                    self.on_reloaded()",
         "                    pass",
         CACHE,
@@ -64,14 +64,14 @@
     Break(
         "a mirror is no newer than it says",
         "peering/relay.py",
-        "asked_at - self.feed.current_at",
+        "asked_at - self.mirror.current_at",
         "0.0",
         "tests.storage.test_relay",
     ),
     Break(
         "a follower skips no change",
         "peering/relay.py",
-        "        found = self.feed.log.since(position)\n"
+        "        found = self.mirror.log.since(position)\n"
         "        if found is None or",
         "        if not found or",
         "tests.storage.test_relay",
@@ -86,7 +86,7 @@
     ),
     Break(
         "orders end with the lease",
-        "storage/tenure.py",
+        "storage/locks.py",
         "return self.clock.monotonic() < self.ends_at - safety_s",
         "return self.lease != stores.NO_LEASE",
         SITE + "test_versions.VersionTest"
@@ -161,14 +161,14 @@
     ),
     Break(
         "a mirror that missed a change is read anew",
-        "storage/feed.py",
-        "elif now - self.differs_since > DIFFERS_S:",
+        "storage/mirror.py",
+        "elif now - self.differs_since > MAX_DIFFERENCE_S:",
         "elif False:",
-        "tests.storage.test_feed",
+        "tests.storage.test_mirror",
     ),
     Break(
         "a closed session holds nothing",
-        "storage/tenure.py",
+        "storage/locks.py",
         "while not self.is_closed:",
         "while True:",
         "tests.storage.test_session",
@@ -235,13 +235,13 @@
     Break(
         "a node's entry does not go for good",
         "runtime.py",
-        "self.presence.note_removed()",
+        "self.registration.note_removed()",
         "pass",
         SITE + "test_lifecycle.PresenceTest",
     ),
     Break(
         "a lease that nothing needs is not renewed",
-        "storage/tenure.py",
+        "storage/locks.py",
         "                if self.users:\n",
         "                if True:\n",
         "tests.storage.test_session",
@@ -443,7 +443,7 @@
     Break(
         "a node that starts reads first what calls need",
         "batches/cache.py",
-        "        feed.defer(records.PREFIX)\n",
+        "        mirror.defer_prefix(records.PREFIX)\n",
         "",
         SITE + "test_thundering_herd",
     ),
@@ -516,7 +516,7 @@
         "peering/handover.py",
         "return is_next and self.before == digest(known)",
         "return is_next",
-        SITE + "test_copies",
+        SITE + "test_replication",
     ),
     Break(
         "nothing of an ended batch is sent by an old view",
@@ -535,8 +535,8 @@
     Break(
         "items go on while the store is silent for all",
         "storage/view.py",
-        "was_old = heard_at",
-        "was_old = False and heard_at",
+        "was_old = peer_answered_at",
+        "was_old = False and peer_answered_at",
         "tests.storage.test_view",
     ),
     Break(
--- a/src/kingcupscale/batches/samplereplication.py
+++ b/src/kingcupscale/batches/samplereplication.py
@@ -87,7 +87,7 @@
             self.target = name
             self._forget()
         texts = self._collect()
-        copy = handover.Copy(
+        copy = handover.ReplicationRequest(
             self.coordinator.service,
             texts,
             self.model,
@@ -98,7 +98,7 @@
             await self.client.send(address, copy)
         except calls.PeerError as e:
             self._forget()
-            if e.status != handover.STATUS_MISFIT:
+            if e.status != handover.STATUS_OUT_OF_SYNC:
                 self.note_failure(name)
             events.log(
                 events.Event.COPY_FAILED,
@@ -119,7 +119,7 @@
         self.sent = {}
         self.sent_results = set()
 
-    def _collect(self) -> list[handover.Text]:
+    def _collect(self) -> list[handover.TextUpdate]:
         texts = []
         open_items = set()
         for sample in self.coordinator.unlisted_samples(self.model):
@@ -131,7 +131,7 @@
             is_new = sample.result and sample.id not in self.sent_results
             if added or is_new:
                 texts.append(
-                    handover.Text(
+                    handover.TextUpdate(
                         sample.id,
                         added,
                         sample.result,
--- a/src/kingcupscale/leadership.py
+++ b/src/kingcupscale/leadership.py
@@ -18,8 +18,8 @@
 from kingcupscale.capacity import fleetsize
 from kingcupscale.peering import calls
 from kingcupscale.peering import loads
+from kingcupscale.storage import locks
 from kingcupscale.storage import store as stores
-from kingcupscale.storage import tenure as tenures
 
 if TYPE_CHECKING:
     from kingcupscale import runtime as runtimes
@@ -56,8 +56,8 @@
         deps = runtime.dependencies
         self.runtime = runtime
         self.service = service
-        self.tenure = tenures.Tenure(
-            service, runtime.session, runtime.feed, deps.clock
+        self.tenure = locks.DutyLock(
+            service, runtime.session, runtime.mirror, deps.clock
         )
         self.coordinator = coordinators.Coordinator(
             service,
@@ -103,7 +103,7 @@
                     await self.sizer.step()
                 await self._delete_expired_batches()
 
-            await tenures.hold(
+            await locks.run_while_held(
                 self.tenure,
                 work,
                 lambda: rank(self.runtime, self.tenure.name),
@@ -118,7 +118,7 @@
         retention_s = self.runtime.settings.bounds.retention_s
         await self.retention.remove_older_than(retention_s + RETENTION_MARGIN_S)
 
-    def _publish_load_state(self, state: loads.LoadState) -> None:
+    def _publish_load_state(self, state: loads.WeightLoadState) -> None:
         """Applies a load's state here and sends it to the model's node."""
         self.runtime.apply_load_state(state)
         peers = self.runtime.peers
@@ -128,7 +128,7 @@
             self.nursery.start_soon(self._send_load_state, address, state)
 
     async def _send_load_state(
-        self, address: str, state: loads.LoadState
+        self, address: str, state: loads.WeightLoadState
     ) -> None:
         try:
             await self.runtime.dependencies.loads.send(address, state)
@@ -183,10 +183,10 @@
         self.last_copy_from = ""
         self.last_copy_at = 0.0
         self.last_probe_at = 0.0
-        self.tenure = tenures.Tenure(
+        self.tenure = locks.DutyLock(
             model_duty_name(leader.service, model),
             runtime.session,
-            runtime.feed,
+            runtime.mirror,
             deps.clock,
         )
         self.replicator = samplereplication.SampleReplicator(
@@ -267,7 +267,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._monitor_holder)
             nursery.start_soon(self.replicator.run)
-            await tenures.hold(
+            await locks.run_while_held(
                 self.tenure, self._do_nothing, self._rank, DUTY_INTERVAL_S
             )
 
@@ -298,7 +298,7 @@
         The nodes of a large fleet that start first see a small fleet and take
         all duties, which are distributed once the others have started.
         """
-        if is_small_fleet(self.runtime) or self.runtime.feed.is_lost:
+        if is_small_fleet(self.runtime) or self.runtime.mirror.is_unreachable:
             return False
         nodes = self.runtime.candidates
         surplus = candidates.find_surplus_duty(
@@ -319,7 +319,7 @@
             return
         self.coordinator.set_active(self.model, False)
         try:
-            await self.tenure.give_up()
+            await self.tenure.release()
         except stores.StoreError as e:
             events.log(
                 events.Event.STORE_FAILED,
--- a/src/kingcupscale/platform/servers.py
+++ b/src/kingcupscale/platform/servers.py
@@ -9,7 +9,7 @@
 from kingcupscale.fleet import serverclient
 from kingcupscale.platform import documents
 from kingcupscale.platform import names
-from kingcupscale.storage import tenure as tenures
+from kingcupscale.storage import locks
 from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
@@ -103,7 +103,7 @@
             # server waits until they have finished.
             "mode": "retain" if order.keeps_runs else "park",
             "holder": order.holder.node,
-            "fence": order.holder.fence,
+            "fence": order.holder.fencing_token,
             # The protocol calls the number of accepted orders a revision.
             "expectedRev": order.expected_sequence,
         }
@@ -152,7 +152,7 @@
             raise serverclient.ServerError(
                 e.reason, e.may_have_been_sent
             ) from e
-        except tenures.DutyLostError as e:
+        except locks.DutyLostError as e:
             raise serverclient.ServerError("duty not held", False) from e
         if names.SIGNATURE in response.headers:
             # Servers sign only answers to callers' requests, so this is a late
--- a/tests/platform/test_endless.py
+++ b/tests/platform/test_endless.py
@@ -26,14 +26,14 @@
 from kingcupscale.platform import documents
 from kingcupscale.platform import names
 from kingcupscale.platform import servers
-from kingcupscale.storage import tenure as tenures
+from kingcupscale.storage import locks
 from kingcupscale.storage import view as views
 from kingcupscale.web import httpclient
 from tests.platform import endlessserver
 from tests.platform import harness
 
 GUARD_S = 30.0
-HOLDER = tenures.Holder("n1", 1, lambda: None)
+HOLDER = locks.Holder("n1", 1, lambda: None)
 PATIENCE_S = 0.6
 HEAD_S = 0.8
 SLACK_S = 0.7
@@ -51,7 +51,7 @@
     """A mirror that is never old."""
 
     current_at = 0.0
-    is_lost = False
+    is_unreachable = False
 
     def age_s(self):
         return 0.0
