--- a/src/kingcupscale/batches/maintenance.py
+++ b/src/kingcupscale/batches/maintenance.py
@@ -9,7 +9,7 @@
 # about twice a second.
 READ_TTL_S = 10.0
 # Maximum estimated size of the cached batches that get no more results.
-MAX_CLOSED_BYTES = 8_000_000
+CLOSED_BYTES = 8_000_000
 PAUSE_S = 0.1
 SWEEP_S = 1.0
 
@@ -19,7 +19,7 @@
 
     Args:
         cache: The cache.
-        clock: Clock for the pauses and the age of reads.
+        clock: Tells the time.
     """
 
     def __init__(self, cache: caches.BatchCache, clock: clocks.Clock) -> None:
@@ -52,9 +52,9 @@
                 self.cache.load_candidates.add(batch_id)
                 caches.log_load_failure(batch_id, e)
                 return
-        await self._refresh_open_batches()
+        await self._refresh_open()
 
-    async def _refresh_open_batches(self) -> None:
+    async def _refresh_open(self) -> None:
         """Refreshes open batches that may lack results."""
         for record in list(self.cache.records.values()):
             if record.is_current or not record.is_open():
@@ -80,9 +80,7 @@
         self.cache.update_interest()
         closed_bytes = 0
         newest_first = sorted(
-            self.cache.records.values(),
-            key=self._last_wanted_at,
-            reverse=True,
+            self.cache.records.values(), key=self._last_wanted_at, reverse=True
         )
         for record in newest_first:
             batch_id = record.batch.id
@@ -92,7 +90,7 @@
             if is_wanted and record.is_open():
                 continue
             closed_bytes += record.estimated_bytes()
-            if not is_wanted or closed_bytes > MAX_CLOSED_BYTES:
+            if not is_wanted or closed_bytes > CLOSED_BYTES:
                 del self.cache.records[batch_id]
 
     def _last_wanted_at(self, record: records.Record) -> tuple[float, int]:
