--- a/src/kingcupscale/batches/scoring.py
+++ b/src/kingcupscale/batches/scoring.py
@@ -83,7 +83,7 @@
     def _record_score_failure(
         self, sample: samples.Sample, status: int
     ) -> None:
-        """Counts a response without a score and fails a sample with too many."""
+        """Counts a response without a score; fails a sample with too many."""
         sample.score_failures += 1
         events.log(
             events.Event.SCORING_FAILED,
