--- a/bench/relay.py
+++ b/bench/relay.py
@@ -41,7 +41,10 @@
 async def main(bind: str, target: str) -> None:
     """Relays until ended."""
     await server.serve(
-        Relay(target), bind, limits.fixed(limits.Limits()), trio.sleep_forever
+        Relay(target),
+        bind,
+        limits.constant(limits.Limits()),
+        trio.sleep_forever,
     )
 
 
--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -103,13 +103,13 @@
     Break(
         "no refusal rests on an old configuration",
         "gateway/admission.py",
-        "return self.find_doubt() or errors.ServiceError(code)",
+        "return self.find_staleness_error() or errors.ServiceError(code)",
         "return errors.ServiceError(code)",
         SITE + "test_configurations.OldViewTest",
     ),
     Break(
         "no batch is hidden by an old configuration",
-        "gateway/callers.py",
+        "gateway/callerservice.py",
         "if doubt and is_there and e.code is errors.ResultCode.BATCH_UNKNOWN:",
         "if False:",
         SITE + "test_configurations.OldViewTest",
@@ -176,8 +176,8 @@
     Break(
         "a call that may run once runs once",
         "gateway/forwarder.py",
-        "attempts.route.may_repeat()\n            and attempts.sent",
-        "attempts.sent",
+        "state.route.allows_retry()\n            and state.sent",
+        "state.sent",
         SITE + "test_calls.CallTest.test_lost_answer",
     ),
     Break(
@@ -228,7 +228,7 @@
     Break(
         "an answer that names no request is nobody's",
         "platform/servers.py",
-        "is_nameless_refusal = echoed is None and answer.not_run",
+        "is_nameless_refusal = echoed is None and answer.not_executed",
         "is_nameless_refusal = echoed is None",
         SITE + "test_calls.CallTest.test_lost_answer",
     ),
@@ -279,7 +279,7 @@
     Break(
         'a refusal that says "not run" is true',
         "gateway/forwarder.py",
-        "        if attempts.sent:\n            code = (",
+        "        if state.sent:\n            code = (",
         "        if False:\n            code = (",
         SITE + "test_calls",
     ),
@@ -350,7 +350,7 @@
         "a withdrawn key is refused",
         "gateway/admission.py",
         "        if organisation is None:\n"
-        "            raise self.refuse(errors.ResultCode.KEY_REFUSED)\n",
+        "            raise self.make_refusal(errors.ResultCode.KEY_REFUSED)\n",
         "",
         SITE + "test_configurations",
     ),
@@ -401,8 +401,8 @@
     Break(
         "a body without end takes little memory",
         "gateway/forwarder.py",
-        "await response.read_within(HELD_BYTES_MOST)",
-        "await response.read_within(None)",
+        "await response.read_at_most(MAX_BUFFERED_BYTES)",
+        "await response.read_at_most(None)",
         SITE + "test_endless",
     ),
     Break(
@@ -421,7 +421,7 @@
     ),
     Break(
         "a stalled stream ends with its time",
-        "gateway/passing.py",
+        "gateway/responsestream.py",
         "max(0.0, until - clock.monotonic())",
         "max(0.0, 60 + until - clock.monotonic())",
         SITE + "test_slow",
@@ -549,14 +549,14 @@
     Break(
         "calls that are given up teach how long answers take",
         "gateway/forwarder.py",
-        "self._learn_latency(attempts.service, limit_s)",
+        "self._learn_latency(state.service, limit_s)",
         "pass",
         SITE + "test_overload",
     ),
     Break(
         "waiting for room takes no time from a scoring call",
         "gateway/forwarder.py",
-        "    if inbound.is_background:\n        return inbound.patience_s\n",
+        "    if inbound.is_background:\n        return inbound.timeout_s\n",
         "",
         SITE + "test_overload",
     ),
--- a/src/kingcupscale/batches/generation.py
+++ b/src/kingcupscale/batches/generation.py
@@ -92,7 +92,7 @@
                     outcome = await self._take_answer(sample, server, answer)
             if sample.run_scope.cancelled_caught:
                 outcome = "moved"
-        except serverclient.WithdrawnError as e:
+        except serverclient.NotSentError as e:
             outcome = f"kept back: {e.reason}"
             self._postpone(sample, KEPT_BACK_PAUSE_S)
         except serverclient.ServerError as e:
@@ -110,7 +110,7 @@
     @contextlib.asynccontextmanager
     async def _begun(
         self, server: registry.Server, call: serverclient.Call
-    ) -> AsyncIterator[serverclient.Answer]:
+    ) -> AsyncIterator[serverclient.ServerResponse]:
         """Sends a request whose answer has to begin in time."""
         async with contextlib.AsyncExitStack() as stack:
             with trio.move_on_after(HEADER_TIMEOUT_S) as scope:
@@ -132,25 +132,25 @@
             host=sample.record.batch.host,
             headers=sample.item.headers,
             body=sample.item.body,
-            time_left_s=RUN_LIMIT_S,
+            timeout_s=RUN_LIMIT_S,
             organisation=sample.record.batch.organisation or None,
             expected_version=version or None,
             resume_after=sample.resume_after(),
             priority=min(9, sample.route.priority),
-            check=functools.partial(self.guard.check, sample),
+            before_send=functools.partial(self.guard.check, sample),
         )
 
     async def _take_answer(
         self,
         sample: samples.Sample,
         server: registry.Server,
-        answer: serverclient.Answer,
+        answer: serverclient.ServerResponse,
     ) -> str:
         """Reads an answer; returns "whole" or why the text is not."""
         now = self.clock.monotonic()
         if answer.load is not None:
             server.update_load(answer.load, now)
-        if answer.not_run:
+        if answer.not_executed:
             await self._note_turned_away(sample, server, answer)
             return f"turned away with {answer.status}"
         if answer.status == 422:
@@ -165,7 +165,7 @@
         self,
         sample: samples.Sample,
         server: registry.Server,
-        answer: serverclient.Answer,
+        answer: serverclient.ServerResponse,
     ) -> None:
         now = self.clock.monotonic()
         model = sample.record.batch.model
@@ -177,11 +177,11 @@
             # Its address may have gone to another server, or it has other
             # weights than this node was told; the report shows which.
             server.record_failure(now)
-            report = await self.client.report(server)
+            report = await self.client.fetch_engine_status(server)
             server.versions.update(report.versions)
 
     def _note_own_failure(
-        self, sample: samples.Sample, answer: serverclient.Answer
+        self, sample: samples.Sample, answer: serverclient.ServerResponse
     ) -> None:
         self._postpone(sample, FAILED_PAUSE_S)
         if answer.status == 500 and answer.signature:
@@ -193,7 +193,7 @@
         self,
         sample: samples.Sample,
         server: registry.Server,
-        answer: serverclient.Answer,
+        answer: serverclient.ServerResponse,
     ) -> str:
         stream = self.client.events(answer)
         size = sum(len(event.data) for event in sample.events)
--- a/src/kingcupscale/batches/loader.py
+++ b/src/kingcupscale/batches/loader.py
@@ -117,7 +117,7 @@
             outcome = await self._order(load)
             if outcome is serverclient.OrderOutcome.ACCEPTED:
                 await self._await_version(load)
-            elif outcome is serverclient.OrderOutcome.HOLDS_ALREADY:
+            elif outcome is serverclient.OrderOutcome.ALREADY_LOADED:
                 self._tell(load, load.version)
         except serverclient.ServerError as e:
             outcome = e.reason
@@ -202,7 +202,7 @@
     async def _find_out(self, load: weights.Load) -> bool:
         """Asks an engine how it stands; whether it has loaded."""
         try:
-            report = await self.client.report(load.server)
+            report = await self.client.fetch_engine_status(load.server)
         except serverclient.ServerError as e:
             events.log(
                 events.Event.REPORT_FAILED,
--- a/src/kingcupscale/batches/scoring.py
+++ b/src/kingcupscale/batches/scoring.py
@@ -12,7 +12,7 @@
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import serverclient
 from kingcupscale.gateway import forwarder
-from kingcupscale.gateway import inbound as inbounds
+from kingcupscale.gateway import inboundrequest
 
 # Longest that one scoring call may wait for room and for answers; each answer
 # has its route's own limit, which is shorter.
@@ -62,7 +62,7 @@
                     self._score_call(sample, scorer)
                 )
                 score = answer.signature if answer.status < 300 else ""
-            except serverclient.WithdrawnError:
+            except serverclient.NotSentError:
                 await self.clock.sleep(SCORE_PAUSE_S)
                 continue
             except errors.ServiceError as e:
@@ -99,8 +99,8 @@
 
     def _score_call(
         self, sample: samples.Sample, scorer: batches.Scorer
-    ) -> inbounds.Inbound:
-        return inbounds.Inbound(
+    ) -> inboundrequest.InboundRequest:
+        return inboundrequest.InboundRequest(
             request_id=scorer.id,
             method="POST",
             host=scorer.host,
@@ -109,8 +109,8 @@
             headers={},
             body=scorer.body,
             key="",
-            patience_s=CALL_LIMIT_S,
+            timeout_s=CALL_LIMIT_S,
             received_at=self.clock.monotonic(),
             is_background=True,
-            check=functools.partial(self.guard.check, sample),
+            before_send=functools.partial(self.guard.check, sample),
         )
--- a/src/kingcupscale/batches/sendguard.py
+++ b/src/kingcupscale/batches/sendguard.py
@@ -22,10 +22,10 @@
         batch may end or the view may grow old.
 
         Raises:
-            WithdrawnError: If the batch has ended, or may have ended without
+            NotSentError: If the batch has ended, or may have ended without
                 this node knowing.
         """
         if not sample.record.is_open():
-            raise serverclient.WithdrawnError("the batch is not open any more")
+            raise serverclient.NotSentError("the batch is not open any more")
         if not self.view.is_current():
-            raise serverclient.WithdrawnError("the view of the store is old")
+            raise serverclient.NotSentError("the view of the store is old")
--- a/src/kingcupscale/daemon.py
+++ b/src/kingcupscale/daemon.py
@@ -90,7 +90,7 @@
     ) -> None:
         """Serves until the node has stopped and the last answer is out."""
         listeners = self.settings.listeners
-        limits_now = limits.fixed(
+        get_limits = limits.constant(
             limits.Limits(**attrs.asdict(self.settings.limits))
         )
         async with trio.open_nursery() as nursery:
@@ -98,14 +98,14 @@
                 server.serve,
                 node.entry,
                 listeners.callers,
-                limits_now,
+                get_limits,
                 node.stopped.wait,
             )
             operators = await nursery.start(
                 server.serve,
                 node.operators,
                 listeners.operators,
-                limits_now,
+                get_limits,
                 node.stopped.wait,
             )
             peers = node.members.me.address
--- a/src/kingcupscale/fakes/capacityprovider.py
+++ b/src/kingcupscale/fakes/capacityprovider.py
@@ -6,8 +6,8 @@
 
 from kingcupscale import clock as clocks
 from kingcupscale.providers import capacityprovider
+from kingcupscale.web import httprouter
 from kingcupscale.web import message
-from kingcupscale.web import routes
 
 
 @attrs.frozen
@@ -53,7 +53,7 @@
         self.answers: dict[str, capacityprovider.OrderAnswer] = {}
         self.epochs: dict[str, int] = {}
         self.unavailable: set[str] = set()
-        self.routes = routes.Routes()
+        self.routes = httprouter.HttpRouter()
         self.routes.add("POST", "/capacity/orders", self._order)
         self.routes.add("GET", "/capacity/servers", self._list)
 
--- a/src/kingcupscale/fakes/engine.py
+++ b/src/kingcupscale/fakes/engine.py
@@ -15,8 +15,8 @@
 from kingcupscale.fakes import text
 from kingcupscale.providers import engine
 from kingcupscale.web import httpclient
+from kingcupscale.web import httprouter
 from kingcupscale.web import message
-from kingcupscale.web import routes
 
 READ_TIMEOUT_S = 60.0
 
@@ -109,7 +109,7 @@
         self.wanted, self.orders_to_read = trio.open_memory_channel[
             engine.EngineOrder
         ](64)
-        self.routes = routes.Routes()
+        self.routes = httprouter.HttpRouter()
         self.routes.add("POST", "/generate", self._generate)
         self.routes.add("POST", "/orders", self._order)
         self.routes.add("GET", "/state", self._state)
--- a/src/kingcupscale/fakes/keyvalue.py
+++ b/src/kingcupscale/fakes/keyvalue.py
@@ -9,8 +9,8 @@
 from kingcupscale import clock as clocks
 from kingcupscale import errors
 from kingcupscale.providers import keyvalue
+from kingcupscale.web import httprouter
 from kingcupscale.web import message
-from kingcupscale.web import routes
 
 VALUE_MAX_BYTES = 1024 * 1024
 
@@ -37,7 +37,7 @@
         self.down = False
         self.slow_s = 0.0
         self.changed = trio.Event()
-        self.routes = routes.Routes()
+        self.routes = httprouter.HttpRouter()
         self.routes.add("POST", "/kv/get", self._get)
         self.routes.add("POST", "/kv/put", self._put)
         self.routes.add("POST", "/kv/watch", self._watch)
--- a/src/kingcupscale/fakes/standins.py
+++ b/src/kingcupscale/fakes/standins.py
@@ -17,7 +17,7 @@
 
 ANY_PORT = "127.0.0.1:0"
 SPARES = 8
-LIMITS = limits.fixed(limits.Limits(body_bytes=16 * 1024 * 1024))
+LIMITS = limits.constant(limits.Limits(body_bytes=16 * 1024 * 1024))
 
 
 @attrs.frozen
--- a/src/kingcupscale/fakes/usageintake.py
+++ b/src/kingcupscale/fakes/usageintake.py
@@ -3,8 +3,8 @@
 import attrs
 
 from kingcupscale.providers import usageintake
+from kingcupscale.web import httprouter
 from kingcupscale.web import message
-from kingcupscale.web import routes
 
 
 class FakeUsageIntake:
@@ -16,7 +16,7 @@
 
     def __init__(self) -> None:
         self.reports: list[usageintake.Report] = []
-        self.routes = routes.Routes()
+        self.routes = httprouter.HttpRouter()
         self.routes.add("POST", "/usage", self._take)
 
     async def __call__(self, request: message.Request) -> message.Response:
--- a/src/kingcupscale/fakes/vmlist.py
+++ b/src/kingcupscale/fakes/vmlist.py
@@ -6,8 +6,8 @@
 
 from kingcupscale import clock as clocks
 from kingcupscale.providers import vmlist
+from kingcupscale.web import httprouter
 from kingcupscale.web import message
-from kingcupscale.web import routes
 
 
 class FakeVmList:
@@ -26,7 +26,7 @@
         self.pending: collections.deque[tuple[float, list[vmlist.Vm]]] = (
             collections.deque()
         )
-        self.routes = routes.Routes()
+        self.routes = httprouter.HttpRouter()
         self.routes.add("GET", "/vms", self._list)
 
     async def __call__(self, request: message.Request) -> message.Response:
--- a/src/kingcupscale/fleet/catalogue.py
+++ b/src/kingcupscale/fleet/catalogue.py
@@ -32,7 +32,7 @@
         kind: What may be repeated.
         shares: The services its requests go to.
         timeout_s: Longest that a request may be kept waiting.
-        target_s: Time within which an answer is wanted.
+        target_latency_s: Time within which an answer is wanted.
         priority: Rank; 0 is the most urgent.
         max_attempts: Most servers that one request may be sent to.
         is_open: Whether requests need no key.
@@ -49,7 +49,7 @@
     kind: RouteKind
     shares: tuple[Share, ...]
     timeout_s: float = 60.0
-    target_s: float = 1.0
+    target_latency_s: float = 1.0
     priority: int = 5
     max_attempts: int = 2
     is_open: bool = False
@@ -59,7 +59,7 @@
     due_s: float = 60.0
     single_version: bool = False
 
-    def may_repeat(self) -> bool:
+    def allows_retry(self) -> bool:
         """Tells whether a request may run more than once."""
         if self.is_streaming:
             return self.is_resumable
--- a/src/kingcupscale/fleet/peers.py
+++ b/src/kingcupscale/fleet/peers.py
@@ -20,14 +20,14 @@
 
 # A node that did not answer, or has an old mirror itself, is not asked again
 # for this long, so that others are asked meanwhile.
-AVOID_S = 0.6
+RETRY_PAUSE_S = 0.6
 # A node that does not answer for this long is taken for dead by those who are
 # to run its batches meanwhile; running them twice does no harm.
-SILENT_S = 0.7
+UNRESPONSIVE_AFTER_S = 0.7
 # A node that a copy could not be sent to gets none for this long.
-FAILED_S = 3.0
+SEND_FAILURE_PAUSE_S = 3.0
 # Nodes that are asked to write for this one before it gives up.
-DETOURS_MOST = 2
+MAX_COMMIT_PEERS = 2
 
 
 class Peers:
@@ -44,7 +44,8 @@
     Attributes:
         answered_at: Monotonic time of the last answer of any node.
         feed: The mirror that tells of the nodes; set once it exists.
-        silent_since: Monotonic time of the first unanswered call, by node.
+        unresponsive_since: Monotonic time of the first unanswered call, by
+            node.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
         self.clock = clock
         self.rng = rng
         self.feed: feeds.Feed | None = None
-        self.silent_since: dict[str, float] = {}
+        self.unresponsive_since: dict[str, float] = {}
         self.not_before: dict[str, float] = {}
         self.failed_until: dict[str, float] = {}
 
@@ -82,9 +83,9 @@
 
     def holder(self, duty: str) -> str:
         """Returns the node that holds a duty; empty for none."""
-        return self.holding(duty).partition(" ")[0]
+        return self.holder_and_lease(duty).partition(" ")[0]
 
-    def holding(self, duty: str) -> str:
+    def holder_and_lease(self, duty: str) -> str:
         """Returns the node that holds a duty and its lease; empty for none."""
         entry = (
             self.feed.entries.get(tenures.DUTIES_PREFIX + duty)
@@ -102,16 +103,19 @@
         names = [self.holder(duty) for duty in sorted(self.watching_duties())]
         return [n for n in dict.fromkeys(names) if n and n != self.node]
 
-    def heard_at(self) -> float | None:
+    def peer_answered_at(self) -> float | None:
         """Returns when any node last answered; None if no other is known."""
         return self.answered_at if self.addresses() else None
 
-    def is_silent(self, node: str) -> bool:
+    def is_unresponsive(self, node: str) -> bool:
         """Tells whether a node has not answered for a while."""
-        since = self.silent_since.get(node)
-        return since is not None and self.clock.monotonic() - since > SILENT_S
+        since = self.unresponsive_since.get(node)
+        return (
+            since is not None
+            and self.clock.monotonic() - since > UNRESPONSIVE_AFTER_S
+        )
 
-    async def follow(
+    async def fetch_changes(
         self,
         position: changelog.Position,
         interest: interests.Interest,
@@ -138,13 +142,13 @@
                 return changes
         return None
 
-    async def copy_of(
+    async def fetch_copy(
         self, batch_id: str, nodes: list[str]
     ) -> records.RecordCopy | None:
         """Returns a batch as the first of some nodes that has it knows it."""
         addresses = self.addresses()
         for name in nodes:
-            if name not in addresses or self.is_silent(name):
+            if name not in addresses or self.is_unresponsive(name):
                 continue
             try:
                 copy = await self.client.copy(addresses[name], batch_id)
@@ -172,7 +176,9 @@
         names = [name for name in self.leaders() if name in addresses]
         names += sorted(addresses.keys() - set(names))
         failure: stores.StoreError | None = None
-        for name in [n for n in names if not self.is_silent(n)][:DETOURS_MOST]:
+        for name in [n for n in names if not self.is_unresponsive(n)][
+            :MAX_COMMIT_PEERS
+        ]:
             try:
                 revision = await self.commits.commit(
                     addresses[name], transaction
@@ -194,20 +200,20 @@
         try:
             await self.client.probe(address)
         except calls.PeerError as e:
-            if node not in self.silent_since:
+            if node not in self.unresponsive_since:
                 events.log(events.Event.PEER_SILENT, peer=node, reason=e.reason)
             # It has not been heard of for a while before it was asked.
-            since = self.clock.monotonic() - 2 * SILENT_S
-            self.silent_since.setdefault(node, since)
+            since = self.clock.monotonic() - 2 * UNRESPONSIVE_AFTER_S
+            self.unresponsive_since.setdefault(node, since)
             return
-        self.note_heard(node)
+        self.mark_responsive(node)
 
-    def note_heard(self, node: str) -> None:
+    def mark_responsive(self, node: str) -> None:
         """Notes that a node has answered, or called by itself."""
-        if self.silent_since.pop(node, None) is not None:
+        if self.unresponsive_since.pop(node, None) is not None:
             events.log(events.Event.PEER_BACK, peer=node)
 
-    def successor(self, ranking: list[str]) -> tuple[str, str] | None:
+    def first_reachable(self, ranking: list[str]) -> tuple[str, str] | None:
         """Returns the first other node of a ranking that answers."""
         addresses = self.addresses()
         now = self.clock.monotonic()
@@ -216,14 +222,14 @@
             if (
                 name in addresses
                 and not has_failed
-                and not self.is_silent(name)
+                and not self.is_unresponsive(name)
             ):
                 return name, addresses[name]
         return None
 
-    def note_failure(self, node: str) -> None:
+    def mark_send_failed(self, node: str) -> None:
         """Notes that nothing could be sent to a node, which may be gone."""
-        self.failed_until[node] = self.clock.monotonic() + FAILED_S
+        self.failed_until[node] = self.clock.monotonic() + SEND_FAILURE_PAUSE_S
 
     async def _ask(
         self,
@@ -236,17 +242,17 @@
         try:
             changes = await self.client.follow(address, position, interest)
         except relay.FollowedTooLateError:
-            self.silent_since.pop(name, None)
-            self.not_before[name] = self.clock.monotonic() + AVOID_S
+            self.unresponsive_since.pop(name, None)
+            self.not_before[name] = self.clock.monotonic() + RETRY_PAUSE_S
             return None
         except relay.RelayError as e:
-            if name not in self.silent_since:
+            if name not in self.unresponsive_since:
                 events.log(events.Event.PEER_SILENT, peer=name, reason=str(e))
-            self.silent_since.setdefault(name, asked_at)
-            self.not_before[name] = self.clock.monotonic() + AVOID_S
+            self.unresponsive_since.setdefault(name, asked_at)
+            self.not_before[name] = self.clock.monotonic() + RETRY_PAUSE_S
             return None
         self.answered_at = self.clock.monotonic()
         if changes.age_s > feeds.FOLLOWED_AGE_S:
-            self.not_before[name] = self.answered_at + AVOID_S
-        self.note_heard(name)
+            self.not_before[name] = self.answered_at + RETRY_PAUSE_S
+        self.mark_responsive(name)
         return changes
--- a/src/kingcupscale/fleet/serverclient.py
+++ b/src/kingcupscale/fleet/serverclient.py
@@ -26,7 +26,7 @@
         self.may_have_run = may_have_run
 
 
-class WithdrawnError(ServerError):
+class NotSentError(ServerError):
     """A call that was kept from leaving; it has not run and never will.
 
     Args:
@@ -50,13 +50,13 @@
         headers: Headers to pass on, lower case; neither keys nor those of
             one connection.
         body: The whole body.
-        time_left_s: Seconds after which the server stops.
+        timeout_s: Seconds after which the server stops.
         organisation: Label of the organisation; None where there is none.
         expected_version: Weight version that it must run under.
         resume_after: Number of the last event that is already there.
         priority: Rank among a server's requests, 0 first; None for usual.
-        check: Called right before the first byte leaves; raises
-            ``WithdrawnError`` to keep the call from leaving. None to let it.
+        before_send: Called right before the first byte leaves; raises
+            ``NotSentError`` to keep the call from leaving. None to let it.
     """
 
     request_id: str
@@ -66,12 +66,12 @@
     host: str
     headers: dict[str, str]
     body: bytes
-    time_left_s: float
+    timeout_s: float
     organisation: str | None = None
     expected_version: int | None = None
     resume_after: int | None = None
     priority: int | None = None
-    check: Callable[[], None] | None = None
+    before_send: Callable[[], None] | None = None
 
 
 @attrs.frozen
@@ -90,13 +90,13 @@
 
 
 @attrs.define
-class Answer:
+class ServerResponse:
     """The head of an answer, and the way to its body.
 
     Attributes:
         status: HTTP status.
         headers: Headers to pass on, lower case.
-        not_run: Whether the server says that it has not run the request.
+        not_executed: Whether the server says that it has not run the request.
         wrong_server: Whether another server, or other weights, answered.
         signature: The signature; empty if there is none.
         version: Weight version; 0 if it names none.
@@ -106,7 +106,7 @@
 
     status: int
     headers: dict[str, str]
-    not_run: bool
+    not_executed: bool
     wrong_server: bool
     signature: str
     version: int
@@ -123,7 +123,7 @@
     """What became of an order."""
 
     ACCEPTED = "accepted"
-    HOLDS_ALREADY = "holds already"
+    ALREADY_LOADED = "holds already"
     BUSY = "busy"
     FENCED = "fenced"
     REFUSED = "refused"
@@ -136,21 +136,21 @@
     Attributes:
         model: The model.
         version: The version.
-        keeps_runs: Whether running requests go on under the new version;
-            otherwise they end first.
+        keeps_running_requests: Whether running requests continue under the
+            new version; otherwise they end first.
         holder: Who gives the order.
         expected_sequence: Orders that the engine has accepted so far.
     """
 
     model: str
     version: int
-    keeps_runs: bool
+    keeps_running_requests: bool
     holder: tenures.Holder
     expected_sequence: int
 
 
 @attrs.frozen
-class EngineReport:
+class EngineStatus:
     """How an engine stands.
 
     Attributes:
@@ -169,7 +169,7 @@
 
     def run(
         self, server: registry.Server, call: Call, connect_s: float
-    ) -> contextlib.AbstractAsyncContextManager[Answer]:
+    ) -> contextlib.AbstractAsyncContextManager[ServerResponse]:
         """Sends a request; leaving the context early abandons the answer.
 
         Raises:
@@ -177,7 +177,7 @@
         """
         ...
 
-    def events(self, answer: Answer) -> AsyncIterator[StreamEvent]:
+    def events(self, answer: ServerResponse) -> AsyncIterator[StreamEvent]:
         """Yields the whole events of a streamed answer.
 
         Raises:
@@ -195,7 +195,9 @@
         """
         ...
 
-    async def report(self, server: registry.Server) -> EngineReport:
+    async def fetch_engine_status(
+        self, server: registry.Server
+    ) -> EngineStatus:
         """Returns how an engine stands.
 
         Raises:
--- a/src/kingcupscale/gateway/admission.py
+++ b/src/kingcupscale/gateway/admission.py
@@ -4,7 +4,7 @@
 
 from kingcupscale import errors
 from kingcupscale.fleet import catalogue
-from kingcupscale.gateway import inbound as inbounds
+from kingcupscale.gateway import inboundrequest
 
 # A node without a configuration has started just now.
 NOT_READY_RETRY_S = 0.5
@@ -14,20 +14,20 @@
     """Finds routes and organisations.
 
     Args:
-        catalogue_now: Returns the configuration in force.
-        find_doubt: Returns why it justifies no refusal now, or None.
+        current_catalogue: Returns the configuration in force.
+        find_staleness_error: Returns why it justifies no refusal now, or None.
     """
 
     def __init__(
         self,
-        catalogue_now: Callable[[], catalogue.Catalogue | None],
-        find_doubt: Callable[[], errors.ServiceError | None],
+        current_catalogue: Callable[[], catalogue.Catalogue | None],
+        find_staleness_error: Callable[[], errors.ServiceError | None],
     ) -> None:
-        self.catalogue_now = catalogue_now
-        self.find_doubt = find_doubt
+        self.current_catalogue = current_catalogue
+        self.find_staleness_error = find_staleness_error
 
     def admit(
-        self, inbound: inbounds.Inbound
+        self, inbound: inboundrequest.InboundRequest
     ) -> tuple[catalogue.Route, catalogue.Organisation | None]:
         """Returns a request's route and organisation.
 
@@ -38,7 +38,7 @@
         configured = self._configured()
         route = configured.find_route(inbound.host, inbound.path)
         if route is None:
-            raise self.refuse(errors.ResultCode.ROUTE_UNKNOWN)
+            raise self.make_refusal(errors.ResultCode.ROUTE_UNKNOWN)
         return route, self.authenticate(route, inbound.key)
 
     def authenticate(
@@ -55,15 +55,15 @@
             return None
         organisation = configured.find_organisation(key)
         if organisation is None:
-            raise self.refuse(errors.ResultCode.KEY_REFUSED)
+            raise self.make_refusal(errors.ResultCode.KEY_REFUSED)
         return organisation
 
-    def refuse(self, code: errors.ResultCode) -> errors.ServiceError:
+    def make_refusal(self, code: errors.ResultCode) -> errors.ServiceError:
         """Returns a refusal by the configuration, or why there is none."""
-        return self.find_doubt() or errors.ServiceError(code)
+        return self.find_staleness_error() or errors.ServiceError(code)
 
     def _configured(self) -> catalogue.Catalogue:
-        configured = self.catalogue_now()
+        configured = self.current_catalogue()
         if configured is None:
             raise errors.ServiceError(
                 errors.ResultCode.NOT_READY, retry_after_s=NOT_READY_RETRY_S
--- a/src/kingcupscale/gateway/callers.py
+++ b/src/kingcupscale/gateway/callerservice.py
@@ -11,7 +11,7 @@
 from kingcupscale.fleet import catalogue
 from kingcupscale.gateway import admission as admissions
 from kingcupscale.gateway import forwarder
-from kingcupscale.gateway import inbound as inbounds
+from kingcupscale.gateway import inboundrequest
 from kingcupscale.web import message
 
 # A sender is answered this long before it stops waiting.
@@ -21,7 +21,7 @@
 STORE_PATIENCE_S = 7.0
 
 
-class Callers:
+class CallerService:
     """Answers callers.
 
     Args:
@@ -57,7 +57,7 @@
             raise refusal
 
     def admit(
-        self, inbound: inbounds.Inbound
+        self, inbound: inboundrequest.InboundRequest
     ) -> tuple[catalogue.Route, catalogue.Organisation | None]:
         """Returns a request's route and organisation.
 
@@ -67,7 +67,9 @@
         self.check_admission()
         return self.admission.admit(inbound)
 
-    async def call(self, inbound: inbounds.Inbound) -> message.Response:
+    async def call(
+        self, inbound: inboundrequest.InboundRequest
+    ) -> message.Response:
         """Returns the answer to a single call.
 
         Raises:
@@ -75,8 +77,8 @@
         """
         return await self.forwarder.forward(inbound)
 
-    async def submit(
-        self, new: batches.Batch, inbound: inbounds.Inbound
+    async def submit_batch(
+        self, new: batches.Batch, inbound: inboundrequest.InboundRequest
     ) -> None:
         """Keeps a batch for good.
 
@@ -88,8 +90,8 @@
             raise errors.ServiceError(errors.ResultCode.BODY_INVALID, problem)
         known = self.book.records.get(new.id)
         if known and known.batch.organisation != new.organisation:
-            raise self.admission.refuse(errors.ResultCode.BATCH_UNKNOWN)
-        patience_s = min(STORE_PATIENCE_S, inbound.patience_s - ANSWER_MARGIN_S)
+            raise self.admission.make_refusal(errors.ResultCode.BATCH_UNKNOWN)
+        patience_s = min(STORE_PATIENCE_S, inbound.timeout_s - ANSWER_MARGIN_S)
         is_new = await self.book.accept(new, patience_s)
         events.log(
             events.Event.BATCH_ACCEPTED,
@@ -101,7 +103,7 @@
             took_s=round(self.clock.monotonic() - inbound.received_at, 3),
         )
 
-    async def find(self, batch_id: str, key: str) -> records.Record:
+    async def find_batch(self, batch_id: str, key: str) -> records.Record:
         """Returns a batch that a key gives access to.
 
         Raises:
@@ -111,7 +113,7 @@
         organisation = self.admission.authenticate(None, key)
         name = organisation.name if organisation else ""
         # As of when the key was looked up, not of when the batch was found.
-        doubt = self.admission.find_doubt()
+        doubt = self.admission.find_staleness_error()
         try:
             return await self.book.find(batch_id, name)
         except errors.ServiceError as e:
@@ -120,13 +122,13 @@
                 raise doubt from None
             raise
 
-    async def read(
+    async def read_results(
         self, record: records.Record, after: int, wait_s: float
     ) -> list[batches.Result]:
         """Returns results from a position on, waiting for the first."""
         return await self.book.read(record, after, wait_s)
 
-    def item_body(self, record: records.Record, item_id: str) -> bytes:
+    def find_item_body(self, record: records.Record, item_id: str) -> bytes:
         """Returns the body of an item, until its batch is ended.
 
         Raises:
@@ -137,7 +139,9 @@
                 return item.body
         raise errors.ServiceError(errors.ResultCode.ITEM_UNKNOWN)
 
-    async def end(self, record: records.Record, patience_s: float) -> None:
+    async def end_batch(
+        self, record: records.Record, patience_s: float
+    ) -> None:
         """Ends a batch.
 
         Raises:
--- a/src/kingcupscale/gateway/attempts.py
+++ b/src/kingcupscale/gateway/callstate.py
@@ -6,7 +6,7 @@
 
 
 @attrs.define
-class Attempts:
+class CallState:
     """What has been tried for one call.
 
     Attributes:
--- a/src/kingcupscale/gateway/inbound.py
+++ b/src/kingcupscale/gateway/inboundrequest.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class Inbound:
+class InboundRequest:
     """A caller's request, decoded.
 
     Attributes:
@@ -18,12 +18,12 @@
         headers: Headers that may be passed on.
         body: The whole body.
         key: The caller's key; empty if it sent none.
-        patience_s: Seconds that the caller will wait, from ``received_at``.
+        timeout_s: Seconds that the caller will wait, from ``received_at``.
         received_at: Monotonic time of arrival.
         resume_after: Number of the last event that the caller has.
         is_background: Whether nobody waits for it directly.
-        check: Called right before it leaves for a server; raises
-            ``serverclient.WithdrawnError`` to keep it here.
+        before_send: Called right before it leaves for a server; raises
+            ``serverclient.NotSentError`` to keep it here.
     """
 
     request_id: str
@@ -34,8 +34,8 @@
     headers: dict[str, str]
     body: bytes
     key: str
-    patience_s: float
+    timeout_s: float
     received_at: float
     resume_after: int | None = None
     is_background: bool = False
-    check: Callable[[], None] | None = None
+    before_send: Callable[[], None] | None = None
--- a/src/kingcupscale/gateway/placement.py
+++ b/src/kingcupscale/gateway/placement.py
@@ -47,7 +47,7 @@
     return total if server.entry.zone == zone else total + OTHER_ZONE_COST
 
 
-def choose_first(
+def choose_random(
     servers: Iterable[registry.Server],
     zone: str,
     now: float,
--- a/src/kingcupscale/gateway/passing.py
+++ b/src/kingcupscale/gateway/responsestream.py
@@ -13,10 +13,10 @@
 STREAM_MARGIN_S = 0.1
 
 
-async def pass_on(
+async def stream_body(
     stack: contextlib.AsyncExitStack,
     start: bytes,
-    answer: serverclient.Answer,
+    answer: serverclient.ServerResponse,
     until: float,
     clock: clocks.Clock,
 ) -> AsyncIterator[bytes]:
--- a/src/kingcupscale/leadership.py
+++ b/src/kingcupscale/leadership.py
@@ -182,7 +182,7 @@
             deps.clock,
             runtime.settings.node,
             self._find_successor,
-            runtime.peers.note_failure,
+            runtime.peers.mark_send_failed,
         )
 
     def needs_batches(self) -> bool:
@@ -214,7 +214,7 @@
 
     def note_heard(self, sender: str) -> None:
         """Notes that the node that runs the samples has sent a copy."""
-        self.runtime.peers.note_heard(sender)
+        self.runtime.peers.mark_responsive(sender)
         self.heard_from = sender
         self.heard_at = self.runtime.clock.monotonic()
 
@@ -235,7 +235,7 @@
         ranking = self._ranking()
         if holder and not self.tenure.is_held():
             ranking = [holder, *ranking]
-        return peers_known.successor(ranking)
+        return peers_known.first_reachable(ranking)
 
     async def run(self) -> None:
         """Contends for the model and runs its samples while held."""
@@ -329,11 +329,11 @@
         now = self.runtime.clock.monotonic()
         if holder == self.taken_from and now < self.taken_until:
             return True
-        if not self.runtime.peers.is_silent(holder):
+        if not self.runtime.peers.is_unresponsive(holder):
             return False
         others = [
             name
             for name in self._ranking()
-            if name != holder and not self.runtime.peers.is_silent(name)
+            if name != holder and not self.runtime.peers.is_unresponsive(name)
         ]
         return others[:1] == [self.runtime.settings.node]
--- a/src/kingcupscale/operating/api.py
+++ b/src/kingcupscale/operating/api.py
@@ -14,8 +14,8 @@
 from kingcupscale.configuration import keys
 from kingcupscale.operating import handover
 from kingcupscale.operating import messages
+from kingcupscale.web import httprouter
 from kingcupscale.web import message
-from kingcupscale.web import routes
 
 Handler = Callable[[message.Request, str], Awaitable[message.Response]]
 
@@ -45,7 +45,7 @@
         self.reporter = reporter
         self.read_status = read_status
         self.drain = drain
-        self.routes = routes.Routes()
+        self.routes = httprouter.HttpRouter()
         self._add("GET", "/status", self._serve_status)
         self._add("GET", "/handover", self._serve_handover)
         self._add("GET", "/configuration", self._serve_configuration)
--- a/src/kingcupscale/platform/documents.py
+++ b/src/kingcupscale/platform/documents.py
@@ -69,7 +69,7 @@
         kind=kind,
         shares=shares,
         timeout_s=float(route.get("timeoutMs", 60_000)) / 1000,
-        target_s=float(route.get("targetLatencyMs", 1000)) / 1000,
+        target_latency_s=float(route.get("targetLatencyMs", 1000)) / 1000,
         priority=int(route.get("priority", 5)),
         max_attempts=max(1, int(route.get("maxAttempts", 2))),
         is_open=bool(route.get("public", False)),
--- a/src/kingcupscale/platform/frontend.py
+++ b/src/kingcupscale/platform/frontend.py
@@ -8,8 +8,8 @@
 from kingcupscale import clock as clocks
 from kingcupscale import errors
 from kingcupscale.fleet import catalogue
-from kingcupscale.gateway import callers
-from kingcupscale.gateway import inbound as inbounds
+from kingcupscale.gateway import callerservice
+from kingcupscale.gateway import inboundrequest
 from kingcupscale.platform import documents
 from kingcupscale.platform import names
 from kingcupscale.web import message
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        service: callers.Callers,
+        service: callerservice.CallerService,
         clock: clocks.Clock,
         is_draining: Callable[[], bool],
     ) -> None:
@@ -69,36 +69,40 @@
             raise errors.ServiceError(
                 errors.ResultCode.BODY_INVALID, str(e)
             ) from None
-        await self.service.submit(new, inbound)
+        await self.service.submit_batch(new, inbound)
         return message.Response(202)
 
     async def _answer_batch(self, request: message.Request) -> message.Response:
         batch_id = request.path.removeprefix(names.BATCHES_PATH)
         key = request.headers.get(names.KEY, "")
-        record = await self.service.find(batch_id, key)
+        record = await self.service.find_batch(batch_id, key)
         if request.method == "DELETE":
-            await self.service.end(record, _patience_s(request))
+            await self.service.end_batch(record, _patience_s(request))
             return message.json_response({})
         if request.method != "GET":
             raise errors.ServiceError(errors.ResultCode.METHOD_NOT_ALLOWED)
         after = _decode_position(_query(request, "after") or "0")
         wait_s = _milliseconds(request, names.WAIT_MS, 0.0)
-        results = await self.service.read(record, after, min(wait_s, 1.0))
+        results = await self.service.read_results(
+            record, after, min(wait_s, 1.0)
+        )
         body = documents.encode_results(len(record.batch.items), results, after)
         return message.Response(200, {"content-type": "application/json"}, body)
 
     async def _answer_item(self, request: message.Request) -> message.Response:
         batch_id = request.path.removeprefix(names.ITEMS_PATH)
         key = request.headers.get(names.KEY, "")
-        record = await self.service.find(batch_id, key)
+        record = await self.service.find_batch(batch_id, key)
         if request.method != "GET":
             raise errors.ServiceError(errors.ResultCode.METHOD_NOT_ALLOWED)
-        body = self.service.item_body(record, _query(request, "id"))
+        body = self.service.find_item_body(record, _query(request, "id"))
         return message.Response(
             200, {"content-type": "application/octet-stream"}, body
         )
 
-    def _decode(self, request: message.Request) -> inbounds.Inbound:
+    def _decode(
+        self, request: message.Request
+    ) -> inboundrequest.InboundRequest:
         request_id = request.headers.get(names.REQUEST_ID, "")
         if not request_id:
             raise errors.ServiceError(
@@ -106,7 +110,7 @@
             )
         resume_after = request.headers.get(names.RESUME_AFTER, "")
         dropped = names.CONNECTION_HEADERS | names.OWN_REQUEST_HEADERS
-        return inbounds.Inbound(
+        return inboundrequest.InboundRequest(
             request_id=request_id,
             method=request.method,
             host=request.headers.get("host", ""),
@@ -119,7 +123,7 @@
             },
             body=request.body,
             key=request.headers.get(names.KEY, ""),
-            patience_s=_patience_s(request),
+            timeout_s=_patience_s(request),
             received_at=self.clock.monotonic(),
             resume_after=int(resume_after) if resume_after.isdigit() else None,
         )
--- a/src/kingcupscale/platform/process.py
+++ b/src/kingcupscale/platform/process.py
@@ -153,7 +153,7 @@
         settings, exchangers, clocks.SystemClock(), random.Random()
     )
     handler = make_frontend(runtime)
-    own_limits = limits.fixed(limits.Limits(body_bytes=PEER_BODY_BYTES))
+    own_limits = limits.constant(limits.Limits(body_bytes=PEER_BODY_BYTES))
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_await_signal, runtime, path)
         await nursery.start(
--- a/src/kingcupscale/platform/servers.py
+++ b/src/kingcupscale/platform/servers.py
@@ -22,7 +22,7 @@
 
 _ORDER_OUTCOMES = {
     202: serverclient.OrderOutcome.ACCEPTED,
-    200: serverclient.OrderOutcome.HOLDS_ALREADY,
+    200: serverclient.OrderOutcome.ALREADY_LOADED,
     409: serverclient.OrderOutcome.BUSY,
     412: serverclient.OrderOutcome.FENCED,
 }
@@ -41,7 +41,7 @@
     @contextlib.asynccontextmanager
     async def run(
         self, server: registry.Server, call: serverclient.Call, connect_s: float
-    ) -> AsyncIterator[serverclient.Answer]:
+    ) -> AsyncIterator[serverclient.ServerResponse]:
         """Sends a request; leaving the context early abandons the answer."""
         request = message.Request(
             call.method,
@@ -51,18 +51,18 @@
             call.body,
         )
         request.connect_timeout_s = connect_s
-        if call.check is not None:
-            request.before_send = call.check
+        if call.before_send is not None:
+            request.before_send = call.before_send
         try:
             async with self.http_client.open(
-                server.entry.address, request, call.time_left_s
+                server.entry.address, request, call.timeout_s
             ) as response:
                 _note_leaving(server, response)
                 answer = _decode_answer(response)
                 echoed = response.headers.get(names.REQUEST_ID)
                 # Refusals need not name the request; all else does, and an
                 # answer that does not may belong to an earlier request.
-                is_nameless_refusal = echoed is None and answer.not_run
+                is_nameless_refusal = echoed is None and answer.not_executed
                 if echoed != call.request_id and not is_nameless_refusal:
                     raise serverclient.ServerError(
                         f"answer to another request, {echoed}", True
@@ -74,7 +74,7 @@
             ) from e
 
     async def events(
-        self, answer: serverclient.Answer
+        self, answer: serverclient.ServerResponse
     ) -> AsyncIterator[serverclient.StreamEvent]:
         """Yields the whole events of a streamed answer."""
         version = answer.version
@@ -100,7 +100,7 @@
             "model": order.model,
             "version": order.version,
             # "retain" lets runs go on, "park" lets them finish first.
-            "mode": "retain" if order.keeps_runs else "park",
+            "mode": "retain" if order.keeps_running_requests else "park",
             "holder": order.holder.node,
             "fence": order.holder.fence,
             # The wire calls the count of accepted orders a revision here.
@@ -115,9 +115,9 @@
             response.status, serverclient.OrderOutcome.REFUSED
         )
 
-    async def report(
+    async def fetch_engine_status(
         self, server: registry.Server
-    ) -> serverclient.EngineReport:
+    ) -> serverclient.EngineStatus:
         """Returns how an engine stands."""
         request = message.Request(
             "GET", "/report", "", {names.EXPECT_SERVER: server.id}
@@ -127,7 +127,7 @@
             raise serverclient.ServerError(f"status {response.status}", False)
         try:
             fields = orjson.loads(response.body)
-            return serverclient.EngineReport(
+            return serverclient.EngineStatus(
                 documents.decode_versions(fields["models"]),
                 bool(fields["busy"]),
                 int(fields["sequence"]),
@@ -178,7 +178,7 @@
     headers = dict(call.headers)
     headers["host"] = call.host
     headers[names.REQUEST_ID] = call.request_id
-    headers[names.DEADLINE_MS] = str(max(1, int(call.time_left_s * 1000)))
+    headers[names.DEADLINE_MS] = str(max(1, int(call.timeout_s * 1000)))
     headers[names.EXPECT_SERVER] = server.id
     if call.organisation is not None:
         headers[names.ORGANISATION] = call.organisation
@@ -191,9 +191,9 @@
     return headers
 
 
-def _decode_answer(response: message.Response) -> serverclient.Answer:
+def _decode_answer(response: message.Response) -> serverclient.ServerResponse:
     headers = response.headers
-    return serverclient.Answer(
+    return serverclient.ServerResponse(
         status=response.status,
         headers={
             name: value
@@ -201,7 +201,7 @@
             if name not in names.CONNECTION_HEADERS
         },
         # Only this header, or a wrong server, says that nothing ran.
-        not_run=names.NOT_RUN in headers or response.status == 421,
+        not_executed=names.NOT_RUN in headers or response.status == 421,
         wrong_server=response.status == 421,
         signature=headers.get(names.SIGNATURE, ""),
         version=_whole(headers.get(names.WEIGHT_VERSION)) or 0,
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -21,7 +21,7 @@
 from kingcupscale.fleet import peers
 from kingcupscale.fleet import registry
 from kingcupscale.gateway import admission as admissions
-from kingcupscale.gateway import callers
+from kingcupscale.gateway import callerservice
 from kingcupscale.gateway import forwarder
 from kingcupscale.peering import commits
 from kingcupscale.peering import counts
@@ -116,7 +116,7 @@
             self.clock,
             settings.node,
             settings.bounds.cancel_s,
-            self.peers.heard_at,
+            self.peers.peer_answered_at,
         )
         self.server_registry = registry.ServerRegistry(
             self.clock,
@@ -189,7 +189,7 @@
             deps.rng,
             settings.zone,
         )
-        self.callers = callers.Callers(
+        self.callers = callerservice.CallerService(
             admission,
             self.forwarder,
             self.book,
@@ -291,7 +291,7 @@
         """Follows a leader, or any node while the store does not answer."""
         if self.is_leader() and not self.feed.is_lost:
             return None
-        return await self.peers.follow(
+        return await self.peers.fetch_changes(
             position, self.book.interest, any_node=self.feed.is_lost
         )
 
@@ -303,7 +303,7 @@
             duty = leadership.model_duty_name(service, model or "")
             nodes.append(self.peers.holder(duty))
         others = [n for n in dict.fromkeys(nodes) if n != self.settings.node]
-        return await self.peers.copy_of(batch_id, others)
+        return await self.peers.fetch_copy(batch_id, others)
 
     async def _keep_batches(self) -> None:
         """Has the batches known that this node's duties need."""
--- a/src/kingcupscale/serving/entry.py
+++ b/src/kingcupscale/serving/entry.py
@@ -10,8 +10,8 @@
 from kingcupscale.serving import completion
 from kingcupscale.serving import plain
 from kingcupscale.serving import sessions
+from kingcupscale.web import httprouter
 from kingcupscale.web import message
-from kingcupscale.web import routes
 
 SERVICES_PREFIX = "/services/"
 OPEN_PREFIX = "/open/"
@@ -66,7 +66,7 @@
         self.is_leaving = False
         self.is_draining = False
         self.active = 0
-        self.routes = routes.Routes()
+        self.routes = httprouter.HttpRouter()
         self.routes.add("GET", "/health/live", self._serve_live)
         self.routes.add("GET", "/health/ready", self._serve_ready)
         self.routes.add("GET", "/v1/models", self._serve_models)
--- a/src/kingcupscale/usage/telling.py
+++ b/src/kingcupscale/usage/telling.py
@@ -29,7 +29,7 @@
 
     def holder(self) -> str:
         """Returns who reports, told apart by lease; empty for nobody."""
-        return self.peers.holding(windows.DUTY)
+        return self.peers.holder_and_lease(windows.DUTY)
 
     async def tell(self, counted: dict[int, dict[str, int]]) -> bool:
         """Tells whole counts by window; whether they were taken."""
--- a/src/kingcupscale/usage/windows.py
+++ b/src/kingcupscale/usage/windows.py
@@ -111,7 +111,7 @@
         """Returns the window of a time in seconds since 1970."""
         return int(seconds // self.window_s)
 
-    def note_begun(self, organisation: str) -> None:
+    def count_started(self, organisation: str) -> None:
         """Counts a request that begins now."""
         window = self.window_at(self.clock.now().timestamp())
         counts = self.counts.setdefault(window, {})
--- a/src/kingcupscale/web/httpclient.py
+++ b/src/kingcupscale/web/httpclient.py
@@ -52,7 +52,7 @@
     address: str,
     request: message.Request,
     timeout_s: float,
-    most_bytes: int | None = None,
+    max_bytes: int | None = None,
 ) -> message.Response:
     """Sends a request and returns the whole answer.
 
@@ -61,14 +61,14 @@
         address: ``host:port``.
         request: What to send.
         timeout_s: Seconds for the whole exchange.
-        most_bytes: Longest body that makes sense; None for any.
+        max_bytes: Longest body that makes sense; None for any.
 
     Raises:
         RequestError: If no whole answer comes in time.
     """
     with trio.move_on_after(timeout_s):
         async with http_client.open(address, request, timeout_s) as response:
-            if not await response.read_within(most_bytes):
+            if not await response.read_at_most(max_bytes):
                 raise RequestError("body too long", may_have_been_sent=True)
             return response
     raise RequestError("no whole answer in time", may_have_been_sent=True)
--- a/src/kingcupscale/web/routes.py
+++ b/src/kingcupscale/web/httprouter.py
@@ -4,7 +4,7 @@
 from kingcupscale.web import message
 
 
-class Routes:
+class HttpRouter:
     """Handlers by path, exact ones first, then the longest prefix."""
 
     def __init__(self) -> None:
--- a/src/kingcupscale/web/limits.py
+++ b/src/kingcupscale/web/limits.py
@@ -25,9 +25,9 @@
 
 
 # Returns the limits that hold now; a configuration may change them.
-LimitsNow = Callable[[], Limits]
+LimitsProvider = Callable[[], Limits]
 
 
-def fixed(limits: Limits) -> LimitsNow:
+def constant(limits: Limits) -> LimitsProvider:
     """Returns limits that never change."""
     return lambda: limits
--- a/src/kingcupscale/web/message.py
+++ b/src/kingcupscale/web/message.py
@@ -81,14 +81,14 @@
 
     async def read(self) -> bytes:
         """Returns the whole body, waiting for the last piece."""
-        await self.read_within(None)
+        await self.read_at_most(None)
         return self.body
 
-    async def read_within(self, most_bytes: int | None) -> bool:
+    async def read_at_most(self, max_bytes: int | None) -> bool:
         """Reads the body as far as it may go; whether that is all of it.
 
         Args:
-            most_bytes: Bytes after which no more is read; None for no bound.
+            max_bytes: Bytes after which no more is read; None for no bound.
         """
         if self.chunks is None:
             return True
@@ -97,7 +97,7 @@
         async for piece in self.chunks:
             pieces.append(piece)
             size += len(piece)
-            if most_bytes is not None and size > most_bytes:
+            if max_bytes is not None and size > max_bytes:
                 self.body = b"".join(pieces)
                 return False
         self.body = b"".join(pieces)
--- a/src/kingcupscale/web/server.py
+++ b/src/kingcupscale/web/server.py
@@ -25,14 +25,14 @@
 
     Args:
         handler: Answers the requests.
-        limits_now: Returns what a client may send.
+        get_limits: Returns what a client may send.
     """
 
     def __init__(
-        self, handler: message.Handler, limits_now: limits.LimitsNow
+        self, handler: message.Handler, get_limits: limits.LimitsProvider
     ) -> None:
         self.handler = handler
-        self.limits_now = limits_now
+        self.get_limits = get_limits
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
         """Serves one ASGI connection."""
@@ -71,7 +71,7 @@
         )
         self._check_head(scope)
         self._check_declared_length(request.headers)
-        with trio.move_on_after(self.limits_now().body_timeout_s):
+        with trio.move_on_after(self.get_limits().body_timeout_s):
             request.body = await self._read_body(receive)
             return request
         raise errors.ServiceError(errors.ResultCode.BODY_TIMEOUT)
@@ -79,15 +79,15 @@
     def _check_head(self, scope: Any) -> None:
         size = sum(len(name) + len(value) for name, value in scope["headers"])
         size += len(scope["raw_path"]) + len(scope["query_string"])
-        if size > self.limits_now().header_bytes:
+        if size > self.get_limits().header_bytes:
             raise errors.ServiceError(
                 errors.ResultCode.HEADERS_TOO_LARGE,
-                f"the limit is {self.limits_now().header_bytes} bytes",
+                f"the limit is {self.get_limits().header_bytes} bytes",
             )
 
     def _check_declared_length(self, headers: dict[str, str]) -> None:
         length = headers.get("content-length", "0")
-        if length.isdigit() and int(length) > self.limits_now().body_bytes:
+        if length.isdigit() and int(length) > self.get_limits().body_bytes:
             raise self._too_large()
 
     async def _read_body(self, receive: Any) -> bytes:
@@ -97,7 +97,7 @@
             if event["type"] == "http.disconnect":
                 raise errors.ServiceError(errors.ResultCode.BODY_MALFORMED)
             body += event.get("body", b"")
-            if len(body) > self.limits_now().body_bytes:
+            if len(body) > self.get_limits().body_bytes:
                 raise self._too_large()
             if not event.get("more_body", False):
                 return bytes(body)
@@ -105,7 +105,7 @@
     def _too_large(self) -> errors.ServiceError:
         return errors.ServiceError(
             errors.ResultCode.BODY_TOO_LARGE,
-            f"the limit is {self.limits_now().body_bytes} bytes",
+            f"the limit is {self.get_limits().body_bytes} bytes",
         )
 
 
@@ -180,7 +180,7 @@
 async def serve(
     handler: message.Handler,
     bind: str,
-    limits_now: limits.LimitsNow,
+    get_limits: limits.LimitsProvider,
     shutdown: Callable[[], Awaitable[None]],
     graceful_timeout_s: float = 60.0,
     task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
@@ -190,7 +190,7 @@
     Args:
         handler: Answers the requests.
         bind: ``host:port``; port 0 lets the system choose.
-        limits_now: Returns what a client may send.
+        get_limits: Returns what a client may send.
         shutdown: Returns when the server is to stop.
         graceful_timeout_s: Seconds that open requests get to end.
         task_status: Told the bound ``host:port``.
@@ -204,6 +204,6 @@
     config.graceful_timeout = graceful_timeout_s
     config.include_server_header = False
     config.include_date_header = False
-    application = Application(handler, limits_now)
-    serving = worker.Worker(application, config, limits_now)
+    application = Application(handler, get_limits)
+    serving = worker.Worker(application, config, get_limits)
     await serving.serve(shutdown, task_status)
--- a/src/kingcupscale/web/worker.py
+++ b/src/kingcupscale/web/worker.py
@@ -37,18 +37,18 @@
     Args:
         application: The ASGI application.
         config: Hypercorn's settings; the first address in ``bind`` is used.
-        limits_now: Returns how long clients may take.
+        get_limits: Returns how long clients may take.
     """
 
     def __init__(
         self,
         application: hypercorn.typing.ASGIFramework,
         config: hypercorn.config.Config,
-        limits_now: limits.LimitsNow,
+        get_limits: limits.LimitsProvider,
     ) -> None:
         self.application = application
         self.config = config
-        self.limits_now = limits_now
+        self.get_limits = get_limits
         self.context = hypercorn.trio.worker_context.WorkerContext(None)
         self.streams: set[WatchedStream] = set()
 
@@ -110,7 +110,7 @@
 
     def _close_expired(self) -> None:
         """Closes connections that are idle, or whose head comes, too long."""
-        now, times = trio.current_time(), self.limits_now()
+        now, times = trio.current_time(), self.get_limits()
         for stream in list(self.streams):
             waited_s = now - stream.since
             if stream.has_bytes and waited_s > times.header_timeout_s:
@@ -150,7 +150,7 @@
         application = functools.partial(self._answer, stream)
         # What is read of a head before it is refused; the limit itself is
         # checked once the head is there.
-        self.config.h11_max_incomplete_size = 2 * self.limits_now().header_bytes
+        self.config.h11_max_incomplete_size = 2 * self.get_limits().header_bytes
         server = hypercorn.trio.tcp_server.TCPServer(
             hypercorn.app_wrappers.ASGIWrapper(application),
             self.config,
--- a/tests/batches/test_decisions.py
+++ b/tests/batches/test_decisions.py
@@ -14,8 +14,8 @@
 from kingcupscale.capacity import fleetsize
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import registry
+from kingcupscale.gateway import backoff
 from kingcupscale.gateway import placement as call_placement
-from kingcupscale.gateway import refusal
 
 ROUTE = catalogue.Route(
     "train",
@@ -304,7 +304,7 @@
 
     def test_uneven_callers_are_spread_better_than_by_chance(self):
         well = self._spread(call_placement.choose)
-        chance = self._spread(call_placement.choose_first)
+        chance = self._spread(call_placement.choose_random)
         self.assertLess(well, chance)
 
     def test_own_zone_is_kept_while_it_costs_nothing(self):
@@ -320,7 +320,7 @@
     )
     def test_callers_return_apart_and_in_time(self, wait_s, left_s):
         rng = random.Random(1)
-        told = {refusal.retry_after_s(wait_s, left_s, rng) for _ in range(20)}
+        told = {backoff.retry_after_s(wait_s, left_s, rng) for _ in range(20)}
         self.assertTrue(all(0 < s <= max(0.05, left_s / 3) for s in told))
         if wait_s < left_s / 4:
             self.assertGreater(len(told), 5)
--- a/tests/platform/endlessserver.py
+++ b/tests/platform/endlessserver.py
@@ -93,12 +93,12 @@
             await trio.aclose_forcefully(stream)
 
 
-class Stutterer(Server):
+class DuplicatingServer(Server):
     """Sends each answer once more as the next request comes."""
 
     def __init__(self):
         super().__init__("head")
-        self.stuttered = 0
+        self.duplicates = 0
 
     async def _answer(self, stream):
         last = b""
@@ -115,7 +115,7 @@
                     len(body),
                     body,
                 )
-                self.stuttered += bool(last)
+                self.duplicates += bool(last)
                 await stream.send_all(last + whole)
                 last, request = whole, b""
         except trio.BrokenResourceError:
--- a/tests/platform/serverstandin.py
+++ b/tests/platform/fakeservers.py
@@ -38,20 +38,20 @@
         self.event_s = 0.02
         self.length = 10
         self.orders = 0
-        self.beats = 0
+        self.heartbeats = 0
         self.fence = 0
         self.loading = ""
         self.state = "ready"
         self.is_full = False
         self.statuses = []
-        self.begun = []
+        self.started_runs = []
         self.running = set()
-        self.drop_after = None
+        self.stall_after = None
         self.is_leaving = False
         self.born = 1
 
     def register(self):
-        self.beats += 1
+        self.heartbeats += 1
         entry = {
             "service": self.service,
             "address": self.address,
@@ -60,7 +60,7 @@
             "slots": self.slots,
             "state": self.state,
             "coldRemainingMs": 0,
-            "sequence": self.beats,
+            "sequence": self.heartbeats,
             "born": self.born,
             "models": self.models(),
         }
@@ -92,12 +92,12 @@
                 }
             )
         if request.path == "/order":
-            return self.take_order(orjson.loads(request.body))
+            return self.handle_order(orjson.loads(request.body))
         if names.KEY in request.headers:
             self.site.violations.append("a key reached a server")
         return await self.run(request)
 
-    def take_order(self, order):
+    def handle_order(self, order):
         self.site.orders.append((self.id, order, trio.current_time()))
         if order["fence"] < self.fence:
             return message.Response(412)
@@ -123,7 +123,7 @@
             names.SERVER_LOAD: f"{len(self.running)},0,{self.slots}",
         }
 
-    def turn_away(self, status=503):
+    def reject(self, status=503):
         return message.Response(status, {names.NOT_RUN: "1"})
 
     async def run(self, request):
@@ -131,10 +131,10 @@
         version = self.versions.get(model, 0)
         wanted = request.headers.get(names.EXPECT_VERSION)
         if wanted is not None and int(wanted) != version:
-            return self.turn_away(421)
+            return self.reject(421)
         is_full = self.is_full or len(self.running) >= self.slots
         if is_full or self.loading == model != "":
-            return self.turn_away()
+            return self.reject()
         resumed = request.headers.get(names.RESUME_AFTER)
         run = Run(
             request.headers[names.REQUEST_ID],
@@ -143,7 +143,7 @@
             int(resumed) if resumed else None,
             trio.current_time(),
         )
-        self.begun.append(run)
+        self.started_runs.append(run)
         self.site.runs.append(run)
         status = self.statuses.pop(0) if self.statuses else 200
         if status != 200:
@@ -166,7 +166,7 @@
             first = (run.resumed_after or 0) + 1
             for number in range(first, self.length + 1):
                 await trio.sleep(self.event_s)
-                if self.drop_after is not None and number > self.drop_after:
+                if self.stall_after is not None and number > self.stall_after:
                     await trio.sleep_forever()
                 run.events += 1
                 yield f"id: {number}\ndata: t{number}\n\n".encode()
--- a/tests/platform/harness.py
+++ b/tests/platform/harness.py
@@ -18,8 +18,8 @@
 from kingcupscale.platform import names
 from kingcupscale.platform import process
 from kingcupscale.web import message
+from tests.platform import fakeservers
 from tests.platform import fakestore
-from tests.platform import serverstandin
 
 STORE = "store:1"
 CLOUD = "cloud:1"
@@ -166,7 +166,7 @@
         self.runs = []
         self.orders = []
         self.store = fakestore.Store()
-        self.cloud = serverstandin.Cloud(self)
+        self.cloud = fakeservers.Cloud(self)
         self.network.serve("store", STORE, self.store)
         self.network.serve("cloud", CLOUD, self.cloud)
         self.servers = {}
@@ -177,7 +177,7 @@
             ("p2", "plain", "b", ""),
         ):
             self.add_server(
-                serverstandin.Server(self, server_id, service, zone, model)
+                fakeservers.Server(self, server_id, service, zone, model)
             )
         self.write_configuration(make_configuration())
         self.nodes = [
--- a/tests/platform/test_batches.py
+++ b/tests/platform/test_batches.py
@@ -162,7 +162,7 @@
     @virtual.on_virtual_time
     async def test_silent_stream_goes_on_elsewhere_after_its_last_event(self):
         async with harness.launch() as site:
-            site.servers["e1"].drop_after = 4
+            site.servers["e1"].stall_after = 4
             await site.submit(site.nodes[0], items=6)
             results = await site.read_all(site.nodes[0])
             self.assertEqual(
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -16,7 +16,7 @@
     kind=catalogue.RouteKind.BATCH,
     shares=(catalogue.Share("engines", 1.0),),
     timeout_s=10.0,
-    target_s=0.4,
+    target_latency_s=0.4,
     priority=1,
     max_attempts=3,
 )
--- a/tests/platform/test_endless.py
+++ b/tests/platform/test_endless.py
@@ -22,7 +22,7 @@
 from kingcupscale.fleet import serverclient
 from kingcupscale.gateway import admission as admissions
 from kingcupscale.gateway import forwarder
-from kingcupscale.gateway import inbound as inbounds
+from kingcupscale.gateway import inboundrequest
 from kingcupscale.platform import documents
 from kingcupscale.platform import names
 from kingcupscale.platform import servers
@@ -43,7 +43,7 @@
 
 
 class Usage:
-    def note_begun(self, organisation):
+    def count_started(self, organisation):
         """Counts nothing."""
 
 
@@ -109,7 +109,7 @@
 
     async def send(self, number, path):
         """Sends one call; returns the response."""
-        inbound = inbounds.Inbound(
+        inbound = inboundrequest.InboundRequest(
             request_id=f"r{number}",
             method="POST",
             host=harness.HOST,
@@ -118,7 +118,7 @@
             headers={},
             body=b"?",
             key=harness.KEY,
-            patience_s=PATIENCE_S,
+            timeout_s=PATIENCE_S,
             received_at=self.clock.monotonic(),
         )
         return await self.forwarder.forward(inbound)
@@ -250,7 +250,7 @@
             order = serverclient.VersionOrder(harness.MODEL, 2, True, HOLDER, 0)
             with trio.fail_after(2 * servers.ORDER_TIMEOUT_S + SLACK_S):
                 with self.assertRaises(serverclient.ServerError):
-                    await world.client.report(engine)
+                    await world.client.fetch_engine_status(engine)
                 with self.assertRaises(serverclient.ServerError):
                     await world.client.order(engine, order)
 
@@ -268,7 +268,7 @@
     )
     def test_next_caller_gets_no_answer_of_another(self, _, path, may_repeat):
         async def main():
-            server = endlessserver.Stutterer()
+            server = endlessserver.DuplicatingServer()
             async with trio.open_nursery() as nursery:
                 await nursery.start(server.serve)
                 world = World(server)
@@ -282,7 +282,7 @@
                     with self.assertRaises(errors.ServiceError) as caught:
                         await world.send(2, path)
                     self.assertEqual(caught.exception.code.status, 502)
-                self.assertEqual(server.stuttered, 1)
+                self.assertEqual(server.duplicates, 1)
                 await world.http_client.aclose()
                 nursery.cancel_scope.cancel()
 
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -52,7 +52,7 @@
     node = site.nodes[0].runtime
     for name in (*PLAIN, *ENGINES):
         with contextlib.suppress(serverclient.ServerError):
-            await node.dependencies.servers.report(
+            await node.dependencies.servers.fetch_engine_status(
                 node.server_registry.servers[name]
             )
 
@@ -83,14 +83,14 @@
             roster = site.nodes[0].runtime.server_registry.servers
             await use(site)
             self.assertTrue(roster[server.id].is_leaving)
-            begun, orders = len(server.begun), server.orders
+            begun, orders = len(server.started_runs), server.orders
             self.assertLessEqual(begun, server.slots)
             site.set_target_version(3)
             for number in range(8):
                 await _send(site, harness.CALL_PATH + "1", f"r{number}")
             await site.submit(site.nodes[0], "b9")
             await site.read_all(site.nodes[0], "b9", seconds=5)
-            self.assertEqual(len(server.begun), begun)
+            self.assertEqual(len(server.started_runs), begun)
             self.assertEqual(server.orders, orders)
 
     @parameterized.parameterized.expand(
@@ -117,9 +117,9 @@
                 server.born += 1
             server.register()
             await trio.sleep(1)
-            begun = len(server.begun)
+            begun = len(server.started_runs)
             await _call(site)
-            self.assertEqual(len(server.begun) == begun, is_leaving)
+            self.assertEqual(len(server.started_runs) == begun, is_leaving)
 
     @virtual.on_virtual_time
     async def test_another_server_at_the_address_says_it_of_itself(self):
@@ -172,5 +172,5 @@
                             names.DEADLINE_MS: "2000",
                         },
                     )
-            senders = [run.request.split("-")[0] for run in server.begun]
+            senders = [run.request.split("-")[0] for run in server.started_runs]
             self.assertEqual(len(senders), len(set(senders)))
--- a/tests/platform/test_lifecycle.py
+++ b/tests/platform/test_lifecycle.py
@@ -175,9 +175,9 @@
             (next_one,) = (n for n in site.nodes if n.name == ranking[0])
             peers = next_one.runtime.peers
             # As after a question that came to nothing.
-            peers.silent_since[holder.name] = trio.current_time() - 2
+            peers.unresponsive_since[holder.name] = trio.current_time() - 2
             await trio.sleep(2)
-            self.assertFalse(peers.is_silent(holder.name))
+            self.assertFalse(peers.is_unresponsive(holder.name))
             active = [
                 node.name
                 for node in site.nodes
@@ -221,7 +221,7 @@
         async with harness.launch(nodes=3) as site:
             holder = site.holder()
             runtime = holder.runtime
-            name, _ = runtime.peers.successor(
+            name, _ = runtime.peers.first_reachable(
                 runtime.candidates.ranking("engines")
             )
             site.network.crash(name)
--- a/tests/platform/test_spreading.py
+++ b/tests/platform/test_spreading.py
@@ -8,8 +8,8 @@
 from kingcupscale import leadership
 from kingcupscale.storage import tenure as tenures
 from tests import virtual
+from tests.platform import fakeservers
 from tests.platform import harness
-from tests.platform import serverstandin
 
 MODELS = (harness.MODEL, "beta")
 DUTIES = ("engines", *(f"engines/{model}" for model in MODELS))
@@ -29,7 +29,7 @@
     """Returns a site with several models, whose nodes have not started."""
     site = harness.Site(nursery, nodes=nodes)
     site.write_configuration(harness.make_configuration(models=MODELS))
-    site.add_server(serverstandin.Server(site, "e3", "engines", "a", MODELS[1]))
+    site.add_server(fakeservers.Server(site, "e3", "engines", "a", MODELS[1]))
     return site
 
 
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -16,9 +16,9 @@
 from kingcupscale.platform import names
 from kingcupscale.web import limits
 from kingcupscale.web import server
+from tests.platform import fakeservers
 from tests.platform import fakestore
 from tests.platform import harness
-from tests.platform import serverstandin
 from tests.soak import proxy as proxies
 
 NODES = 4
@@ -224,7 +224,7 @@
         self.orders = []
         self.servers = {}
         self.server_links = {}
-        self.cloud = serverstandin.Cloud(self)
+        self.cloud = fakeservers.Cloud(self)
         self.nodes = []
         self.store_address = ""
         self.cloud_address = ""
@@ -260,12 +260,12 @@
             server.serve,
             handler,
             f"{self.host.name}:0",
-            limits.fixed(limits.Limits()),
+            limits.constant(limits.Limits()),
             never,
         )
 
     async def _add_server(self, name, service, zone, model):
-        added = serverstandin.Server(self, name, service, zone, model)
+        added = fakeservers.Server(self, name, service, zone, model)
         added.length = 40
         link = proxies.Proxy(await self._serve(added), self.host.name)
         await self.nursery.start(link.run)
--- a/tests/test_web_connections.py
+++ b/tests/test_web_connections.py
@@ -24,12 +24,12 @@
 
 
 @contextlib.asynccontextmanager
-async def _connected(limits_now):
+async def _connected(get_limits):
     """Yields a connection to a listener."""
     stop = trio.Event()
     async with trio.open_nursery() as nursery:
         address = await nursery.start(
-            server.serve, _answer, "127.0.0.1:0", limits_now, stop.wait
+            server.serve, _answer, "127.0.0.1:0", get_limits, stop.wait
         )
         host, _, port = address.rpartition(":")
         stream = await trio.open_tcp_stream(host, int(port))
@@ -70,7 +70,7 @@
         allowed = limits.Limits(idle_s=IDLE_S, header_timeout_s=HEADER_S)
 
         async def main():
-            async with _connected(limits.fixed(allowed)) as stream:
+            async with _connected(limits.constant(allowed)) as stream:
                 for delay_s, part in parts:
                     await trio.sleep(delay_s)
                     await stream.send_all(part)
--- a/tests/test_web_server.py
+++ b/tests/test_web_server.py
@@ -15,7 +15,7 @@
 from kingcupscale.web import message
 from kingcupscale.web import server
 
-LIMITS = limits.fixed(
+LIMITS = limits.constant(
     limits.Limits(body_bytes=1000, header_bytes=2000, body_timeout_s=0.3)
 )
 GUARD_S = 30.0
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -57,16 +57,16 @@
             5.0,
             Teller(),
         )
-        counter.note_begun("one")
+        counter.count_started("one")
         await trio.sleep(6.1)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(counter.share)
             nursery.start_soon(counter.share, True)
-        counter.note_begun("one")
+        counter.count_started("one")
         async with trio.open_nursery() as nursery:
             nursery.start_soon(counter.share, True)
             await trio.sleep(0.05)
-            counter.note_begun("one")
+            counter.count_started("one")
         await trio.sleep(6.1)
         await counter.share()
         self.assertEqual(
@@ -99,7 +99,7 @@
             teller,
         )
         teller.is_reached = is_reached
-        counter.note_begun("one")
+        counter.count_started("one")
         await trio.sleep(6.1)
         for holder in (first, first, second, second):
             teller.present = holder
@@ -120,10 +120,10 @@
             teller,
         )
         teller.present = "n2 1"
-        counter.note_begun("one")
+        counter.count_started("one")
         await trio.sleep(6.1)
         await counter.share()
-        counter.note_begun("one")
+        counter.count_started("one")
         await counter.share(is_last=True)
         self.assertEqual([v["one"] for v in store.values.values()], [1, 1])
 
