--- a/src/kingcupscale/batches/listing.py
+++ b/src/kingcupscale/batches/resultwriter.py
@@ -9,7 +9,7 @@
 from kingcupscale import errors
 from kingcupscale import events
 from kingcupscale.batches import batch as batches
-from kingcupscale.batches import book as books
+from kingcupscale.batches import cache as caches
 from kingcupscale.batches import record as records
 from kingcupscale.batches import sample as samples
 from kingcupscale.storage import store as stores
@@ -23,12 +23,12 @@
 WRITE_BATCHES = 16
 
 
-class Lister:
+class ResultWriter:
     """Lists the results of one service's samples.
 
     Args:
         service: Name of the service, for the log.
-        book: The batches.
+        batch_cache: The batches.
         clock: Tells the time.
         find_samples: Returns the samples that may have results.
 
@@ -39,22 +39,22 @@
     def __init__(
         self,
         service: str,
-        book: books.Book,
+        batch_cache: caches.BatchCache,
         clock: clocks.Clock,
         find_samples: Callable[[], Iterable[samples.Sample]],
     ) -> None:
         self.service = service
-        self.book = book
+        self.batch_cache = batch_cache
         self.clock = clock
         self.find_samples = find_samples
-        self.finished = trio.Event()
+        self.has_results = trio.Event()
 
     async def run(self) -> None:
         """Lists finished samples, several by one write."""
         while True:
-            await self.finished.wait()
+            await self.has_results.wait()
             await self.clock.sleep(GATHER_S)
-            self.finished = trio.Event()
+            self.has_results = trio.Event()
             try:
                 await self._commit()
             except (stores.StoreError, errors.ServiceError) as e:
@@ -64,23 +64,23 @@
                     reason=str(e),
                 )
                 await self.clock.sleep(COMMIT_RETRY_S)
-                self.finished.set()
+                self.has_results.set()
 
     async def _commit(self) -> None:
         additions = self._gather()
         if not additions:
             return
-        is_listed = await self.book.append(additions)
+        has_result = await self.batch_cache.append(additions)
         for record, chunk in additions:
             events.log(
                 events.Event.RESULTS_LISTED,
                 batch=record.batch.id,
                 items=[result.item for result in chunk.results],
-                listed=is_listed,
+                listed=has_result,
                 position=len(record.results),
             )
         # What did not fit, or met another writer, is looked at again.
-        self.finished.set()
+        self.has_results.set()
 
     def _gather(self) -> list[tuple[records.Record, records.Chunk]]:
         """Returns the results that are not listed yet, as far as fits."""
@@ -88,7 +88,7 @@
         size = 0
         for sample in self.find_samples():
             record = sample.record
-            if sample.result is None or record.is_listed(sample.id):
+            if sample.result is None or record.has_result(sample.id):
                 continue
             if size > WRITE_BYTES:
                 break
--- a/src/kingcupscale/fleet/peers.py
+++ b/src/kingcupscale/fleet/peers.py
@@ -144,7 +144,7 @@
 
     async def fetch_copy(
         self, batch_id: str, nodes: list[str]
-    ) -> records.RecordCopy | None:
+    ) -> records.RecordSnapshot | None:
         """Returns a batch as the first of some nodes that has it knows it."""
         addresses = self.addresses()
         for name in nodes:
--- a/src/kingcupscale/peering/relay.py
+++ b/src/kingcupscale/peering/relay.py
@@ -111,7 +111,7 @@
 
     async def copy(
         self, address: str, batch_id: str
-    ) -> records.RecordCopy | None:
+    ) -> records.RecordSnapshot | None:
         """Returns a batch as another node knows it; None if it does not.
 
         Raises:
@@ -169,7 +169,7 @@
 
     async def copy(
         self, address: str, batch_id: str
-    ) -> records.RecordCopy | None:
+    ) -> records.RecordSnapshot | None:
         """Returns a batch as another node knows it; None if it does not."""
         try:
             body = await calls.post(
@@ -183,7 +183,7 @@
             if e.status == STATUS_UNKNOWN:
                 return None
             raise
-        return calls.decode_answer(body, records.RecordCopy)
+        return calls.decode_answer(body, records.RecordSnapshot)
 
     async def probe(self, address: str) -> None:
         """Asks a node whether it lives."""
@@ -217,12 +217,12 @@
 
     Args:
         feed: The mirror.
-        book: The batches.
+        batch_cache: The batches.
     """
 
-    def __init__(self, feed: feeds.Feed, book: BatchesKnown) -> None:
+    def __init__(self, feed: feeds.Feed, batch_cache: BatchesKnown) -> None:
         self.feed = feed
-        self.book = book
+        self.batch_cache = batch_cache
         self.encoded: dict[tuple[str, int], bytes] = {}
 
     async def __call__(self, request: message.Request) -> message.Response:
@@ -250,10 +250,10 @@
         )
 
     async def _copy(self, question: CopyQuestion) -> message.Response:
-        record = self.book.records.get(question.batch)
+        record = self.batch_cache.records.get(question.batch)
         if record is None and not self.feed.is_following:
             # The others ask here, so that one node reads it for all of them.
-            record = await self.book.load(
+            record = await self.batch_cache.load(
                 question.batch, is_read=True, asks_nodes=False
             )
         if record is None or not record.is_current:
@@ -261,7 +261,7 @@
         return message.Response(
             200,
             {"content-type": "application/json"},
-            calls.encode(record.copy(self.feed.revision)),
+            calls.encode(record.snapshot(self.feed.revision)),
         )
 
     async def _wait_for_news(
@@ -283,17 +283,17 @@
         self, entry: stores.Entry, interest: interests.Interest
     ) -> bool:
         """Tells whether a follower wants to know a change in full."""
-        batch_id = records.batch_of(entry.key)
+        batch_id = records.batch_id_of(entry.key)
         if batch_id is None:
             return True
-        model = self.book.model_of(batch_id)
+        model = self.batch_cache.model_of(batch_id)
         return model is None or interest.includes(batch_id, model)
 
     def _lacks(self, entry: stores.Entry, interest: interests.Interest) -> bool:
         """Tells whether a value is wanted that this node was not told."""
         return (
             entry.value == LEFT_OUT
-            and records.batch_of(entry.key) is not None
+            and records.batch_id_of(entry.key) is not None
             and self._is_wanted(entry, interest)
         )
 
