--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -12,7 +12,7 @@
 from kingcupscale.batches import batch as batches
 from kingcupscale.batches import cache as caches
 from kingcupscale.batches import generation
-from kingcupscale.batches import migration
+from kingcupscale.batches import moving
 from kingcupscale.batches import placement
 from kingcupscale.batches import record as records
 from kingcupscale.batches import resultwriter
@@ -339,7 +339,7 @@
             for s in self.servers.list_servers(self.service)
             if s.is_usable(now)
         ]
-        for choice in placement.choose_each(
+        for choice in placement.place_by_slack(
             waiting, usable, self.prompts, now, now_ms, self.generator.token_s
         ):
             choice.sample.stage = samples.Stage.GENERATING
@@ -364,19 +364,19 @@
         taken = len(waiting)
         event_s = self.generator.event_s
         least_s = event_s * min(
-            placement.finish_cost(s, now, False) for s in free
+            placement.completion_cost(s, now, False) for s in free
         )
         for sample in self.open_samples():
             if sample.stage is not samples.Stage.GENERATING:
                 continue
-            pace = migration.RunProgress(
+            pace = moving.RunProgress(
                 sample.run_events,
                 len(sample.events),
-                sample.event_s(now),
+                sample.seconds_per_event(now),
                 sample.moves,
             )
             expected = sample.expected_tokens() / self.generator.event_tokens
-            if not migration.should_migrate(pace, least_s, expected):
+            if not moving.should_move(pace, least_s, expected):
                 continue
             here = self.servers.servers.get(sample.server)
             others = [
@@ -387,14 +387,14 @@
             room = sum(s.entry.slots - s.in_flight for s in others)
             if not others or here is None or room <= taken:
                 continue
-            best = min(placement.finish_cost(s, now, False) for s in others)
-            if migration.should_migrate(pace, best * event_s, expected):
+            best = min(placement.completion_cost(s, now, False) for s in others)
+            if moving.should_move(pace, best * event_s, expected):
                 sample.moves += 1
                 taken += 1
                 here.update_relative_latency(pace.event_s / max(1e-6, event_s))
                 sample.run_scope.cancel()
 
-    def _note_prompt(self, choice: placement.Choice) -> None:
+    def _note_prompt(self, choice: placement.Assignment) -> None:
         if len(self.prompts) > TEXTS_KEPT:
             self.prompts.clear()
         group = choice.sample.item.group
@@ -407,7 +407,7 @@
             if is_waiting and age_s > sample.route.max_age_s:
                 self._fail(sample, "too old")
 
-    async def _run_guarded(self, choice: placement.Choice) -> None:
+    async def _run_guarded(self, choice: placement.Assignment) -> None:
         """Runs a sample; an unexpected error ends only this run."""
         try:
             await self._run_sample(choice)
@@ -421,7 +421,7 @@
             choice.sample.stage = samples.Stage.WAITING
             choice.sample.not_before = self.clock.monotonic() + ERROR_PAUSE_S
 
-    async def _run_sample(self, choice: placement.Choice) -> None:
+    async def _run_sample(self, choice: placement.Assignment) -> None:
         sample, server = choice.sample, choice.server
         is_whole = False
         with sample.scope:
