--- a/src/kingcupscale/batches/generation.py
+++ b/src/kingcupscale/batches/generation.py
@@ -147,7 +147,7 @@
             host=sample.record.batch.host,
             headers=sample.item.headers,
             body=sample.item.body,
-            time_left_s=RUN_TIMEOUT_S,
+            timeout_s=RUN_TIMEOUT_S,
             organisation=sample.record.batch.organisation or None,
             expected_version=version or None,
             resume_after=sample.resume_after(),
--- a/src/kingcupscale/batches/scoring.py
+++ b/src/kingcupscale/batches/scoring.py
@@ -111,7 +111,7 @@
             headers={},
             body=scorer.body,
             key="",
-            patience_s=CALL_TIMEOUT_S,
+            timeout_s=CALL_TIMEOUT_S,
             received_at=self.clock.monotonic(),
             is_background=True,
             before_send=functools.partial(self.guard.check, sample),
