--- a/src/kingcupscale/batches/retention.py
+++ b/src/kingcupscale/batches/retention.py
@@ -6,7 +6,7 @@
 from kingcupscale import errors
 from kingcupscale.batches import cache as caches
 from kingcupscale.batches import record as records
-from kingcupscale.storage import entries
+from kingcupscale.storage import decoding
 from kingcupscale.storage import store as stores
 
 # Keys in one transaction, which the store takes at the least.
@@ -68,7 +68,7 @@
         if entry is None or entry.value is None:
             return
         decode = functools.partial(records.decode, records.Specification)
-        head = entries.read(entry, decode)
+        head = decoding.decode_entry(entry, decode)
         if head is None:
             return
         self.batch_cache.summaries[batch_id] = caches.BatchSummary(
@@ -78,7 +78,9 @@
     async def _forget(self, batch_id: str) -> None:
         prefix = f"{records.RESULTS_PREFIX}{batch_id}/"
         keys = [entry.key for entry in await self.fetcher.entries(prefix)]
-        heads = self.batch_cache.feed.under(records.batch_key(batch_id, ""))
+        heads = self.batch_cache.mirror.entries_under(
+            records.batch_key(batch_id, "")
+        )
         # The specification goes last, so that a half-removed batch is found
         # again by the next round.
         keys += sorted(
--- a/src/kingcupscale/candidates.py
+++ b/src/kingcupscale/candidates.py
@@ -5,9 +5,9 @@
 from collections.abc import Sequence
 
 from kingcupscale import rendezvous
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import locks
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
-from kingcupscale.storage import tenure as tenures
 
 
 class Candidates:
@@ -16,26 +16,26 @@
     Rankings are cached and recomputed when a node or a duty's holder changes.
 
     Args:
-        feed: The local replica of the store, with the nodes' entries.
+        mirror: The local replica of the store, with the nodes' entries.
         node: This node's name.
     """
 
-    def __init__(self, feed: feeds.Feed, node: str) -> None:
-        self.feed = feed
+    def __init__(self, mirror: mirrors.StoreMirror, node: str) -> None:
+        self.mirror = mirror
         self.node = node
         self.rankings: dict[str, list[str]] = {}
         self.idle_rankings: dict[str, list[str]] = {}
         self.cached_names: list[str] | None = None
         self.cached_holders: dict[str, str] | None = None
-        feed.subscribe(tenures.NODES_PREFIX, self._on_node_changed)
-        feed.subscribe(tenures.DUTIES_PREFIX, self._on_duty_changed)
+        mirror.subscribe(locks.NODES_PREFIX, self._on_node_changed)
+        mirror.subscribe(locks.DUTIES_PREFIX, self._on_duty_changed)
 
     def names(self) -> list[str]:
         """Returns the names of the registered nodes, including this one."""
         if self.cached_names is None:
             self.cached_names = [
-                entry.key.removeprefix(tenures.NODES_PREFIX)
-                for entry in self.feed.under(tenures.NODES_PREFIX)
+                entry.key.removeprefix(locks.NODES_PREFIX)
+                for entry in self.mirror.entries_under(locks.NODES_PREFIX)
             ]
         return self.cached_names
 
@@ -43,10 +43,10 @@
         """Returns the node that holds each duty, by name of the duty."""
         if self.cached_holders is None:
             self.cached_holders = {
-                entry.key.removeprefix(tenures.DUTIES_PREFIX): (
+                entry.key.removeprefix(locks.DUTIES_PREFIX): (
                     (entry.value or b"").decode().partition(" ")[0]
                 )
-                for entry in self.feed.under(tenures.DUTIES_PREFIX)
+                for entry in self.mirror.entries_under(locks.DUTIES_PREFIX)
             }
         return self.cached_holders
 
--- a/src/kingcupscale/fleet/peers.py
+++ b/src/kingcupscale/fleet/peers.py
@@ -14,9 +14,9 @@
 from kingcupscale.peering import commits
 from kingcupscale.peering import relay
 from kingcupscale.storage import changelog
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import locks
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
-from kingcupscale.storage import tenure as tenures
 
 # A node that did not answer, or has an old mirror itself, is not asked again
 # for this long, so that others are asked meanwhile.
@@ -43,7 +43,7 @@
 
     Attributes:
         answered_at: Monotonic time of the last answer of any node.
-        feed: The mirror that tells of the nodes; set once it exists.
+        mirror: The mirror that tells of the nodes; set once it exists.
         unresponsive_since: Monotonic time of the first unanswered call, by
             node.
     """
@@ -64,18 +64,18 @@
         self.commits = commits_client
         self.clock = clock
         self.rng = rng
-        self.feed: feeds.Feed | None = None
+        self.mirror: mirrors.StoreMirror | None = None
         self.unresponsive_since: dict[str, float] = {}
         self.not_before: dict[str, float] = {}
         self.failed_until: dict[str, float] = {}
 
     def addresses(self) -> dict[str, str]:
         """Returns the other nodes' addresses by name."""
-        if self.feed is None:
+        if self.mirror is None:
             return {}
         found = {}
-        for entry in self.feed.under(tenures.NODES_PREFIX):
-            name = entry.key.removeprefix(tenures.NODES_PREFIX)
+        for entry in self.mirror.entries_under(locks.NODES_PREFIX):
+            name = entry.key.removeprefix(locks.NODES_PREFIX)
             address = orjson.loads(entry.value or b"{}").get("peers", "")
             if name != self.node and address:
                 found[name] = address
@@ -88,8 +88,8 @@
     def holder_and_lease(self, duty: str) -> str:
         """Returns the node that holds a duty and its lease; empty for none."""
         entry = (
-            self.feed.entries.get(tenures.DUTIES_PREFIX + duty)
-            if self.feed
+            self.mirror.entries.get(locks.DUTIES_PREFIX + duty)
+            if self.mirror
             else None
         )
         return (entry.value or b"").decode() if entry else ""
@@ -151,7 +151,7 @@
             if name not in addresses or self.is_unresponsive(name):
                 continue
             try:
-                copy = await self.client.copy(addresses[name], batch_id)
+                copy = await self.client.fetch_batch(addresses[name], batch_id)
             except calls.PeerError as e:
                 events.log(
                     events.Event.COPY_FAILED,
@@ -241,7 +241,7 @@
         asked_at = self.clock.monotonic()
         try:
             changes = await self.client.follow(address, position, interest)
-        except relay.FollowedTooLateError:
+        except relay.TooFarBehindError:
             self.unresponsive_since.pop(name, None)
             self.not_before[name] = self.clock.monotonic() + RETRY_PAUSE_S
             return None
@@ -252,7 +252,7 @@
             self.not_before[name] = self.clock.monotonic() + RETRY_PAUSE_S
             return None
         self.answered_at = self.clock.monotonic()
-        if changes.age_s > feeds.FOLLOWED_AGE_S:
+        if changes.age_s > mirrors.MAX_FOLLOWED_AGE_S:
             self.not_before[name] = self.answered_at + RETRY_PAUSE_S
         self.mark_responsive(name)
         return changes
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -27,13 +27,13 @@
 from kingcupscale.peering import counts
 from kingcupscale.peering import handover
 from kingcupscale.peering import loads
-from kingcupscale.peering import pace
+from kingcupscale.peering import polling
 from kingcupscale.peering import relay
 from kingcupscale.storage import changelog
-from kingcupscale.storage import detour
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import fallback
+from kingcupscale.storage import locks
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
-from kingcupscale.storage import tenure as tenures
 from kingcupscale.storage import view as views
 from kingcupscale.usage import telling
 from kingcupscale.usage import windows
@@ -99,7 +99,7 @@
 
     def _make_storage(self) -> None:
         settings, deps = self.settings, self.dependencies
-        self.feed = feeds.Feed(
+        self.mirror = mirrors.StoreMirror(
             deps.store,
             self.clock,
             settings.node,
@@ -114,9 +114,9 @@
             deps.rng,
             lambda: self.services,
         )
-        self.peers.feed = self.feed
+        self.peers.mirror = self.mirror
         self.view = views.View(
-            self.feed,
+            self.mirror,
             self.clock,
             settings.node,
             settings.bounds.cancel_s,
@@ -124,38 +124,38 @@
         )
         self.server_registry = registry.ServerRegistry(
             self.clock,
-            lambda: self.feed.regained_at,
-            lambda: self.feed.is_lost,
+            lambda: self.mirror.recovered_at,
+            lambda: self.mirror.is_unreachable,
         )
         self.batch_cache = caches.BatchCache(
-            self.feed,
-            detour.DetourStore(deps.store, self.peers.commit),
+            self.mirror,
+            fallback.FallbackStore(deps.store, self.peers.commit),
             self.clock,
             settings.value_bytes,
             self._fetch_copy,
         )
         self.batch_cache.on_change = self._wake_coordinators
-        self.relay = relay.RelayHandler(self.feed, self.batch_cache)
+        self.relay = relay.RelayHandler(self.mirror, self.batch_cache)
         ttl_s = max(
             settings.least_lease_s, LEASE_SHARE * settings.bounds.lease_s
         )
-        self.session = tenures.Session(
+        self.session = locks.LeaseSession(
             deps.store, self.clock, settings.node, ttl_s
         )
-        self.presence = tenures.Presence(
+        self.registration = locks.NodeRegistration(
             deps.store,
             self.clock,
             settings.node,
             PRESENCE_LEASES * ttl_s,
             orjson.dumps({"peers": settings.peers}),
         )
-        self.candidates = candidates.Candidates(self.feed, settings.node)
-        self.feed.subscribe(tenures.NODES_PREFIX, self._on_node_changed)
+        self.candidates = candidates.Candidates(self.mirror, settings.node)
+        self.mirror.subscribe(locks.NODES_PREFIX, self._on_node_changed)
         self.cluster_state = clusterstate.ClusterState(
-            self.feed, self.server_registry, deps.keys, deps.decoders
+            self.mirror, self.server_registry, deps.keys, deps.decoders
         )
         self.readiness = readiness.Readiness(
-            self.feed,
+            self.mirror,
             self.peers,
             self.clock,
             settings.bounds,
@@ -165,8 +165,8 @@
     def _make_serving(self) -> None:
         settings, deps = self.settings, self.dependencies
         self.reporter = windows.WindowReporter(
-            tenures.Tenure(windows.DUTY, self.session, self.feed, self.clock),
-            self.feed,
+            locks.DutyLock(windows.DUTY, self.session, self.mirror, self.clock),
+            self.mirror,
             deps.intake,
             self.clock,
             settings.bounds.window_s,
@@ -174,7 +174,7 @@
         )
         self.telling = telling.Telling(self.peers, self.reporter, deps.counts)
         self.usage = windows.WindowCounter(
-            self.feed,
+            self.mirror,
             self.clock,
             settings.node,
             settings.bounds.window_s,
@@ -201,7 +201,7 @@
             self.readiness.admission_error,
         )
         self.retirements = retirements.Retirements(
-            self.feed, deps.keys, deps.decoders.retirement_state
+            self.mirror, deps.keys, deps.decoders.retirement_state
         )
 
     async def handle_peer_request(
@@ -209,7 +209,7 @@
     ) -> message.Response:
         """Returns the response to a request of another node."""
         if request.path == commits.PATH:
-            return await commits.answer(self.dependencies.store, request)
+            return await commits.handle(self.dependencies.store, request)
         if request.path == handover.PATH:
             return self._apply_copy(handover.decode(request.body))
         if request.path == counts.PATH:
@@ -219,7 +219,9 @@
             return message.Response(200)
         return await self.relay(request)
 
-    def _apply_copy(self, copy: handover.Copy) -> message.Response:
+    def _apply_copy(
+        self, copy: handover.ReplicationRequest
+    ) -> message.Response:
         """Stores copied texts; the last copy also hands the samples over."""
         duty = self.services.get(copy.service)
         fits = duty is None or duty.coordinator.apply_copy(copy)
@@ -229,7 +231,7 @@
         if model is not None:
             model.record_copy(copy.sender)
         if not fits:
-            return message.Response(handover.STATUS_MISFIT)
+            return message.Response(handover.STATUS_OUT_OF_SYNC)
         if not copy.is_last:
             return message.Response(200)
         if model is None or self.is_draining:
@@ -237,7 +239,7 @@
         model.take_over(copy.sender)
         return message.Response(200)
 
-    def apply_load_state(self, state: loads.LoadState) -> None:
+    def apply_load_state(self, state: loads.WeightLoadState) -> None:
         """Applies the state of an engine's weight load."""
         server = self.server_registry.servers.get(state.server)
         if server is None:
@@ -297,10 +299,12 @@
         They come from a leader, or from any node while the store does not
         answer. A leader reads the store itself while that answers.
         """
-        if self.is_leader() and not self.feed.is_lost:
+        if self.is_leader() and not self.mirror.is_unreachable:
             return None
         return await self.peers.fetch_changes(
-            position, self.batch_cache.interest, any_node=self.feed.is_lost
+            position,
+            self.batch_cache.interest,
+            any_node=self.mirror.is_unreachable,
         )
 
     async def _fetch_copy(self, batch_id: str) -> records.RecordSnapshot | None:
@@ -331,9 +335,9 @@
         is_needed = self.batch_cache.waiting_readers or any(
             duty.coordinator.active_models for duty in self.services.values()
         )
-        if self.feed.is_following and is_needed:
+        if self.mirror.is_following and is_needed:
             return ACTIVE_POLL_INTERVAL_S
-        return pace.idle_pause_s(
+        return polling.idle_poll_interval_s(
             len(self.candidates.names()), self.settings.bounds.apply_s
         )
 
@@ -344,19 +348,19 @@
 
     def _on_node_changed(self, entry: stores.Entry) -> None:
         """Has this node's own entry written again if it was removed."""
-        is_own = entry.key == tenures.NODES_PREFIX + self.settings.node
+        is_own = entry.key == locks.NODES_PREFIX + self.settings.node
         if is_own and entry.value is None:
-            self.presence.note_removed()
+            self.registration.note_removed()
 
     async def run(self) -> None:
         """Runs the node until a planned stop is complete."""
         async with trio.open_nursery() as nursery:
             for task in (
-                self.feed.run,
+                self.mirror.run,
                 maintenance.CacheMaintainer(self.batch_cache, self.clock).run,
                 self._update_interest,
                 self.session.run,
-                self.presence.run,
+                self.registration.run,
                 self._sweep_forever,
                 self._start_duties,
                 self._share_usage,
@@ -374,7 +378,7 @@
         for duty in self.models.values():
             await duty.hand_over()
         await self.session.close()
-        await self.presence.close()
+        await self.registration.close()
         with trio.move_on_after(1.0):
             try:
                 await self.usage.share(is_last=True)
@@ -429,7 +433,7 @@
     async def _report_usage(self) -> None:
         if not self.settings.reports_usage:
             return
-        await tenures.hold(
+        await locks.run_while_held(
             self.reporter.tenure,
             self._run_usage_duty,
             lambda: leadership.rank(self, windows.DUTY),
--- a/tests/platform/test_versions.py
+++ b/tests/platform/test_versions.py
@@ -19,10 +19,12 @@
             old = batch.Result(
                 "b1-i0", batch.ResultState.DONE, "old", [1], "old score"
             )
-            text = handover.Text("b1-i0", [], old, "b0")
+            text = handover.TextUpdate("b1-i0", [], old, "b0")
             for node in site.nodes:
                 duty = node.runtime.services["engines"]
-                duty.coordinator.apply_copy(handover.Copy("engines", [text]))
+                duty.coordinator.apply_copy(
+                    handover.ReplicationRequest("engines", [text])
+                )
             await site.submit(site.nodes[0], "b1", minimum=2)
             for result in await site.read_all(site.nodes[0], "b1"):
                 self.assertEqual(result["versions"], [2])
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -8,8 +8,8 @@
 import trio
 
 from kingcupscale.fakes import virtualtime
+from kingcupscale.storage import locks
 from kingcupscale.storage import store as stores
-from kingcupscale.storage import tenure as tenures
 from kingcupscale.usage import windows
 from tests import virtual
 
@@ -160,7 +160,7 @@
         value = orjson.dumps(counts)
         self.entries[key] = stores.Entry(key, value, 1, 1)
 
-    def under(self, prefix):
+    def entries_under(self, prefix):
         return [e for k, e in self.entries.items() if k.startswith(prefix)]
 
 
@@ -187,9 +187,9 @@
         session = types.SimpleNamespace(node=node)
         tenure = types.SimpleNamespace(
             session=session,
-            fence=1,
+            fencing_token=1,
             is_held=lambda: True,
-            holder=lambda: tenures.Holder(node, 1, lambda: None),
+            holder=lambda: locks.Holder(node, 1, lambda: None),
         )
         clock = virtualtime.VirtualClock()
         return windows.WindowReporter(
