--- a/src/kingcupscale/batches/generation.py
+++ b/src/kingcupscale/batches/generation.py
@@ -99,7 +99,7 @@
                     outcome = await self._read_answer(sample, server, answer)
             if sample.run_scope.cancelled_caught:
                 outcome = "moved"
-        except serverclient.WithdrawnError as e:
+        except serverclient.NotSentError as e:
             outcome = f"blocked by the send guard: {e.reason}"
             self._postpone(sample, BLOCKED_PAUSE_S)
         except serverclient.ServerError as e:
@@ -119,7 +119,7 @@
     @contextlib.asynccontextmanager
     async def _open_request(
         self, server: registry.Server, call: serverclient.Call
-    ) -> AsyncIterator[serverclient.Answer]:
+    ) -> AsyncIterator[serverclient.ServerResponse]:
         """Sends a request and waits for the response headers.
 
         Raises:
@@ -147,25 +147,25 @@
             host=sample.record.batch.host,
             headers=sample.item.headers,
             body=sample.item.body,
-            time_left_s=RUN_TIMEOUT_S,
+            timeout_s=RUN_TIMEOUT_S,
             organisation=sample.record.batch.organisation or None,
             expected_version=version or None,
             resume_after=sample.resume_after(),
             priority=min(9, sample.route.priority),
-            check=functools.partial(self.guard.check, sample),
+            before_send=functools.partial(self.guard.check, sample),
         )
 
     async def _read_answer(
         self,
         sample: samples.Sample,
         server: registry.Server,
-        answer: serverclient.Answer,
+        answer: serverclient.ServerResponse,
     ) -> str:
         """Reads a response; returns "whole" or why the text is incomplete."""
         now = self.clock.monotonic()
         if answer.load is not None:
             server.update_load(answer.load, now)
-        if answer.not_run:
+        if answer.not_executed:
             await self._handle_rejection(sample, server, answer)
             return f"rejected without running, status {answer.status}"
         if answer.status == 422:
@@ -180,7 +180,7 @@
         self,
         sample: samples.Sample,
         server: registry.Server,
-        answer: serverclient.Answer,
+        answer: serverclient.ServerResponse,
     ) -> None:
         """Updates what is known of an engine that rejected a run."""
         now = self.clock.monotonic()
@@ -194,11 +194,11 @@
             # may have other weights than this node knows. Its report tells
             # which of the two it is.
             server.record_failure(now)
-            report = await self.client.report(server)
+            report = await self.client.fetch_engine_status(server)
             server.versions.update(report.versions)
 
     def _handle_failure(
-        self, sample: samples.Sample, answer: serverclient.Answer
+        self, sample: samples.Sample, answer: serverclient.ServerResponse
     ) -> None:
         """Counts a failure of the engine and fails a sample with too many."""
         self._postpone(sample, FAILED_PAUSE_S)
@@ -211,7 +211,7 @@
         self,
         sample: samples.Sample,
         server: registry.Server,
-        answer: serverclient.Answer,
+        answer: serverclient.ServerResponse,
     ) -> str:
         """Appends a response's events to a sample until the text is complete.
 
--- a/src/kingcupscale/batches/loader.py
+++ b/src/kingcupscale/batches/loader.py
@@ -126,7 +126,7 @@
             outcome = await self._order(load)
             if outcome is serverclient.OrderOutcome.ACCEPTED:
                 await self._await_version(load)
-            elif outcome is serverclient.OrderOutcome.HOLDS_ALREADY:
+            elif outcome is serverclient.OrderOutcome.ALREADY_LOADED:
                 self._report_state(load, load.version)
         except serverclient.ServerError as e:
             outcome = e.reason
@@ -227,7 +227,7 @@
             Whether it has loaded the version.
         """
         try:
-            report = await self.client.report(load.server)
+            report = await self.client.fetch_engine_status(load.server)
         except serverclient.ServerError as e:
             events.log(
                 events.Event.REPORT_FAILED,
--- a/src/kingcupscale/batches/scoring.py
+++ b/src/kingcupscale/batches/scoring.py
@@ -12,7 +12,7 @@
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import serverclient
 from kingcupscale.gateway import forwarder
-from kingcupscale.gateway import inbound as inbounds
+from kingcupscale.gateway import inboundrequest
 
 # Time limit of one scoring call, including the time in the queue and retries.
 # Each attempt also has the time limit of its route, which is shorter.
@@ -62,7 +62,7 @@
                     self._make_call(sample, scorer)
                 )
                 score = answer.signature if answer.status < 300 else ""
-            except serverclient.WithdrawnError:
+            except serverclient.NotSentError:
                 await self.clock.sleep(RETRY_PAUSE_S)
                 continue
             except errors.ServiceError as e:
@@ -102,8 +102,8 @@
 
     def _make_call(
         self, sample: samples.Sample, scorer: batches.Scorer
-    ) -> inbounds.Inbound:
-        return inbounds.Inbound(
+    ) -> inboundrequest.InboundRequest:
+        return inboundrequest.InboundRequest(
             request_id=scorer.id,
             method="POST",
             host=scorer.host,
@@ -112,8 +112,8 @@
             headers={},
             body=scorer.body,
             key="",
-            patience_s=CALL_TIMEOUT_S,
+            timeout_s=CALL_TIMEOUT_S,
             received_at=self.clock.monotonic(),
             is_background=True,
-            check=functools.partial(self.guard.check, sample),
+            before_send=functools.partial(self.guard.check, sample),
         )
--- a/src/kingcupscale/leadership.py
+++ b/src/kingcupscale/leadership.py
@@ -196,7 +196,7 @@
             deps.clock,
             runtime.settings.node,
             self._find_successor,
-            runtime.peers.note_failure,
+            runtime.peers.mark_send_failed,
         )
 
     def needs_batches(self) -> bool:
@@ -233,7 +233,7 @@
 
     def record_copy(self, sender: str) -> None:
         """Records that the node that runs the samples has sent a copy."""
-        self.runtime.peers.note_heard(sender)
+        self.runtime.peers.mark_responsive(sender)
         self.last_copy_from = sender
         self.last_copy_at = self.runtime.clock.monotonic()
 
@@ -260,7 +260,7 @@
         ranking = self._ranking()
         if holder and not self.tenure.is_held():
             ranking = [holder, *ranking]
-        return peers.successor(ranking)
+        return peers.first_reachable(ranking)
 
     async def run(self) -> None:
         """Campaigns for the duty, and runs the samples while holding it."""
@@ -362,11 +362,11 @@
         now = self.runtime.clock.monotonic()
         if holder == self.takeover_source and now < self.takeover_until:
             return True
-        if not self.runtime.peers.is_silent(holder):
+        if not self.runtime.peers.is_unresponsive(holder):
             return False
         others = [
             name
             for name in self._ranking()
-            if name != holder and not self.runtime.peers.is_silent(name)
+            if name != holder and not self.runtime.peers.is_unresponsive(name)
         ]
         return others[:1] == [self.runtime.settings.node]
