--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -256,8 +256,8 @@
     Break(
         "a version that nobody told of is asked for",
         "batches/generation.py",
-        "            server.versions.update(report.versions)\n",
-        "            del report\n",
+        "            server.versions.update(status.versions)\n",
+        "            del status\n",
         SITE + "test_versions.VersionTest",
     ),
     Break(
@@ -308,8 +308,8 @@
     Break(
         "a score is the signature of a success",
         "batches/scoring.py",
-        'score = answer.signature if answer.status < 300 else ""',
-        "score = answer.signature",
+        'score = response.signature if response.status < 300 else ""',
+        "score = response.signature",
         SITE + "test_batches",
     ),
     Break(
--- a/src/kingcupscale/batches/generation.py
+++ b/src/kingcupscale/batches/generation.py
@@ -95,8 +95,10 @@
         view_age_s = self.guard.view.age_s()
         try:
             with sample.run_scope:
-                async with self._open_request(server, call) as answer:
-                    outcome = await self._read_answer(sample, server, answer)
+                async with self._open_request(server, call) as response:
+                    outcome = await self._read_response(
+                        sample, server, response
+                    )
             if sample.run_scope.cancelled_caught:
                 outcome = "moved"
         except serverclient.NotSentError as e:
@@ -127,14 +129,14 @@
         """
         async with contextlib.AsyncExitStack() as stack:
             with trio.move_on_after(HEADER_TIMEOUT_S) as scope:
-                answer = await stack.enter_async_context(
+                response = await stack.enter_async_context(
                     self.client.run(server, call, CONNECT_TIMEOUT_S)
                 )
             if scope.cancelled_caught:
                 raise serverclient.ServerError(
                     "no response headers in time", True
                 )
-            yield answer
+            yield response
 
     def _make_call(
         self, sample: samples.Sample, version: int
@@ -155,54 +157,54 @@
             before_send=functools.partial(self.guard.check, sample),
         )
 
-    async def _read_answer(
+    async def _read_response(
         self,
         sample: samples.Sample,
         server: registry.Server,
-        answer: serverclient.ServerResponse,
+        response: serverclient.ServerResponse,
     ) -> str:
         """Reads a response; returns "whole" or why the text is incomplete."""
         now = self.clock.monotonic()
-        if answer.load is not None:
-            server.update_load(answer.load, now)
-        if answer.not_executed:
-            await self._handle_rejection(sample, server, answer)
-            return f"rejected without running, status {answer.status}"
-        if answer.status == 422:
+        if response.load is not None:
+            server.update_load(response.load, now)
+        if response.not_executed:
+            await self._handle_rejection(sample, server, response)
+            return f"rejected without running, status {response.status}"
+        if response.status == 422:
             self.on_failed(sample, "rejected by the engine as unprocessable")
             return "rejected as unprocessable"
-        if not answer.is_success:
-            self._handle_failure(sample, answer)
-            return f"failed with status {answer.status}"
-        return await self._read_events(sample, server, answer)
+        if not response.is_success:
+            self._handle_failure(sample, response)
+            return f"failed with status {response.status}"
+        return await self._read_events(sample, server, response)
 
     async def _handle_rejection(
         self,
         sample: samples.Sample,
         server: registry.Server,
-        answer: serverclient.ServerResponse,
+        response: serverclient.ServerResponse,
     ) -> None:
         """Updates what is known of an engine that rejected a run."""
         now = self.clock.monotonic()
         model = sample.record.batch.model
-        if not answer.wrong_server:
+        if not response.wrong_server:
             server.no_samples_until[model] = now + REJECTED_PAUSE_S
-        elif answer.version:
-            server.versions[model] = answer.version
+        elif response.version:
+            server.versions[model] = response.version
         else:
             # The address may belong to another server by now, or the engine
-            # may have other weights than this node knows. Its report tells
+            # may have other weights than this node knows. Its status tells
             # which of the two it is.
             server.record_failure(now)
-            report = await self.client.fetch_engine_status(server)
-            server.versions.update(report.versions)
+            status = await self.client.fetch_engine_status(server)
+            server.versions.update(status.versions)
 
     def _handle_failure(
-        self, sample: samples.Sample, answer: serverclient.ServerResponse
+        self, sample: samples.Sample, response: serverclient.ServerResponse
     ) -> None:
         """Counts a failure of the engine and fails a sample with too many."""
         self._postpone(sample, FAILED_PAUSE_S)
-        if answer.status == 500 and answer.signature:
+        if response.status == 500 and response.signature:
             sample.failures += 1
             if sample.failures >= sample.route.max_attempts:
                 self.on_failed(sample, "failed at every attempt")
@@ -211,7 +213,7 @@
         self,
         sample: samples.Sample,
         server: registry.Server,
-        answer: serverclient.ServerResponse,
+        response: serverclient.ServerResponse,
     ) -> str:
         """Appends a response's events to a sample until the text is complete.
 
@@ -219,7 +221,7 @@
             ServerError: If the stream breaks, stops, skips an event or
                 exceeds a limit.
         """
-        stream = self.client.events(answer)
+        stream = self.client.events(response)
         size = sum(len(event.data) for event in sample.events)
         async with contextlib.aclosing(stream):
             while True:
--- a/src/kingcupscale/batches/loader.py
+++ b/src/kingcupscale/batches/loader.py
@@ -130,7 +130,7 @@
                 self._report_state(load, load.version)
         except serverclient.ServerError as e:
             outcome = e.reason
-            await self._refresh_report(load)
+            await self._refresh_status(load)
         finally:
             self.loading.pop(server.id, None)
         is_loaded = server.versions.get(load.model, 0) >= load.version
@@ -155,7 +155,7 @@
                 unknown.
         """
         if load.server.sequence is None:
-            await self._refresh_report(load)
+            await self._refresh_status(load)
         if load.server.sequence is None:
             raise serverclient.ServerError(
                 "the engine did not report its order sequence", False
@@ -163,7 +163,7 @@
         order = serverclient.VersionOrder(
             load.model,
             load.version,
-            self._keeps_runs(),
+            self._keeps_running_requests(),
             self.duty_lock.holder(),
             load.server.sequence,
         )
@@ -175,11 +175,11 @@
         if outcome is serverclient.OrderOutcome.ACCEPTED:
             load.server.sequence = order.expected_sequence + 1
         elif outcome is serverclient.OrderOutcome.BUSY:
-            await self._refresh_report(load)
+            await self._refresh_status(load)
         return outcome
 
-    def _keeps_runs(self) -> bool:
-        """Tells whether runs may continue under another version.
+    def _keeps_running_requests(self) -> bool:
+        """Tells whether running requests may continue under another version.
 
         They may if no route to the service requires a single version per text.
         """
@@ -201,7 +201,7 @@
         deadline = started_at + LOAD_TIMEOUT_S
         while self.clock.monotonic() < deadline and not load.server.is_removed:
             await self.clock.sleep(POLL_PAUSE_S)
-            if await self._refresh_report(load):
+            if await self._refresh_status(load):
                 took_s = self.clock.monotonic() - started_at
                 self.load_s += AVERAGE_WEIGHT * (took_s - self.load_s)
                 return
@@ -220,14 +220,14 @@
             )
         )
 
-    async def _refresh_report(self, load: weights.Load) -> bool:
-        """Requests an engine's report and updates what is known of it.
+    async def _refresh_status(self, load: weights.Load) -> bool:
+        """Requests an engine's status and updates what is known of it.
 
         Returns:
             Whether it has loaded the version.
         """
         try:
-            report = await self.client.fetch_engine_status(load.server)
+            status = await self.client.fetch_engine_status(load.server)
         except serverclient.ServerError as e:
             events.log(
                 events.Event.REPORT_FAILED,
@@ -235,8 +235,8 @@
                 reason=e.reason,
             )
             return False
-        load.server.sequence = report.sequence
-        for model, version in report.versions.items():
+        load.server.sequence = status.sequence
+        for model, version in status.versions.items():
             if model != load.model or version >= load.version:
                 load.server.versions[model] = version
-        return report.versions.get(load.model, 0) >= load.version
+        return status.versions.get(load.model, 0) >= load.version
--- a/src/kingcupscale/batches/scoring.py
+++ b/src/kingcupscale/batches/scoring.py
@@ -58,10 +58,10 @@
         while sample.result is None:
             try:
                 self.guard.check(sample)
-                answer = await self.forwarder.forward(
+                response = await self.forwarder.forward(
                     self._make_call(sample, scorer)
                 )
-                score = answer.signature if answer.status < 300 else ""
+                score = response.signature if response.status < 300 else ""
             except serverclient.NotSentError:
                 await self.clock.sleep(RETRY_PAUSE_S)
                 continue
@@ -77,7 +77,7 @@
             if score:
                 self.on_scored(sample, score)
             else:
-                self._record_score_failure(sample, answer.status)
+                self._record_score_failure(sample, response.status)
                 await self.clock.sleep(RETRY_PAUSE_S)
 
     def _record_score_failure(
