--- a/src/kingcupscale/batches/cache.py
+++ b/src/kingcupscale/batches/cache.py
@@ -1,4 +1,8 @@
-"""The batches that the store holds, as far as this node needs to know them."""
+"""Cache of the store's batches and results that this node needs.
+
+``BatchCache`` follows the store mirror, loads batches on demand and writes new
+batches, ends of batches and results to the store.
+"""
 
 from collections.abc import Callable
 
@@ -18,19 +22,19 @@
 from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 
-# A value travels as base64, so three quarters of the largest value, less some
-# room for names.
+# Share of the store's value limit that items may fill. Values are sent as
+# base64, which leaves three quarters; the rest is room for field names.
 VALUE_SHARE = 0.7
-# A mirror that is older than this may lack results that other nodes show.
-STALE_S = 0.7
-# Shortest time between two questions that are dropped for a wider one; longer
-# than a quiet one takes.
-ASK_ANEW_S = 1.0
+# Age from which the mirror may lack results that other nodes already return.
+MIRROR_STALE_S = 0.7
+# Minimum time between two restarts of the long poll for a wider interest. It is
+# longer than a long poll takes that finds no change.
+MIN_RESTART_INTERVAL_S = 1.0
 
 
 @attrs.frozen
 class BatchSummary:
-    """What a node remembers of each batch whose specification it has seen."""
+    """Data kept of each batch whose specification has been received."""
 
     submitted_ms: int
     model: str
@@ -38,12 +42,12 @@
 
 @attrs.define(eq=False)
 class PendingLoad:
-    """A batch that is being loaded, and the changes of it meanwhile.
+    """A load of a batch in progress, with the changes received meanwhile.
 
     Attributes:
-        reloads: How often changes may have been missed before it.
-        done: Set once it is loaded, or cannot be.
-        entries: The changes.
+        reload_count: The cache's reload count when the load began.
+        done: Set once the load has succeeded or failed.
+        entries: Changed entries of the batch, applied after the load.
     """
 
     reload_count: int
@@ -52,28 +56,32 @@
 
 
 class BatchCache:
-    """Batches, mirrored from the store as far as they are wanted here.
+    """Cached records of the batches that this node needs.
 
     A chunk of results is written on condition that no chunk starts at its
     position yet. A writer knows all results before its position, so a result
-    gets one position and a position one result, whoever writes.
+    gets one position and a position one result, even with several writers.
 
     Args:
         mirror: The mirror of the store.
         store: Where batches are written.
         clock: Tells the time.
         value_bytes: Largest value that the store holds.
-        fetch_copy: Asks other nodes for a batch.
+        fetch_snapshot: Fetches a batch from another node.
 
     Attributes:
-        records: The batches that are known in full, by id.
-        interest: What other nodes are asked to tell in full.
-        known: Every batch whose specification has been seen.
-        unexamined: Batches that may have to be loaded.
-        reads: Monotonic time of the last read here, by batch.
-        reloads: How often changes may have been missed.
-        readers: How many readers wait for a result.
-        on_change: Called when a batch is added or ended.
+        records: Cached records by batch id.
+        interest: Batches whose values other nodes are asked to send.
+        summaries: Summary of every batch whose specification has been received.
+        load_candidates: Ids of batches that may have to be loaded.
+        last_read_at: Monotonic time of the last read on this node, by batch id.
+        pending_loads: Loads in progress, by batch id.
+        reload_count: How often changes may have been missed because the mirror
+            was reloaded.
+        waiting_readers: Number of readers that wait for a result.
+        received_parts: Parts of specifications that are not complete yet, by
+            batch id and part number.
+        on_change: Called when a record is added or a batch has ended.
     """
 
     def __init__(
@@ -99,17 +107,17 @@
         self.pending_loads: dict[str, PendingLoad] = {}
         self.reload_count = 0
         self.waiting_readers = 0
-        self.waiting_parts: dict[str, dict[str, bytes]] = {}
-        self.asked_anew_at = -ASK_ANEW_S
+        self.received_parts: dict[str, dict[str, bytes]] = {}
+        self.follow_restarted_at = -MIN_RESTART_INTERVAL_S
         self.on_change: Callable[[], None] = _ignore
         mirror.exclude_prefix(records.RESULTS_PREFIX)
         mirror.defer_prefix(records.PREFIX)
-        mirror.subscribe(records.PREFIX, self._take_head)
-        mirror.subscribe(records.RESULTS_PREFIX, self._take_results)
-        mirror.on_reloaded = self._note_reloaded
+        mirror.subscribe(records.PREFIX, self._apply_batch_entry)
+        mirror.subscribe(records.RESULTS_PREFIX, self._apply_results)
+        mirror.on_reloaded = self._mark_all_incomplete
 
     def set_interest(self, everything: bool, models: frozenset[str]) -> None:
-        """Sets what has to be known here beside the batches that are read."""
+        """Sets what to cache besides the batches that clients read here."""
         before = self.interest
         self._apply_interest(everything, models)
         if (everything and not before.everything) or models - before.models:
@@ -120,7 +128,7 @@
             }
 
     def model_of(self, batch_id: str) -> str | None:
-        """Returns the model that a batch trains, if that is known."""
+        """Returns the model that a batch trains, or None if it is not known."""
         known = self.summaries.get(batch_id)
         return known.model if known else None
 
@@ -134,19 +142,22 @@
         is_wider = new.is_wider_than(self.interest)
         self.interest = new
         now = self.clock.monotonic()
-        if is_wider and now - self.asked_anew_at >= ASK_ANEW_S:
-            # An answer to the narrower question may leave out what is wanted,
-            # which then has to be read; but a question that is dropped again
-            # and again would never be answered.
-            self.asked_anew_at = now
+        if (
+            is_wider
+            and now - self.follow_restarted_at >= MIN_RESTART_INTERVAL_S
+        ):
+            # The running long poll may omit values that are needed now, and
+            # which then have to be read from the store. But a long poll that
+            # is restarted again and again would never be answered.
+            self.follow_restarted_at = now
             self.mirror.restart_follow()
 
     def update_interest(self) -> None:
-        """Has other nodes asked for what is read or loaded here by now."""
+        """Updates the interest with the batches that are read or loaded now."""
         self._apply_interest(self.interest.everything, self.interest.models)
 
     def batch_ids(self) -> list[str]:
-        """Returns all batches that the store is known to hold."""
+        """Returns the ids of all batches in the mirror of the store."""
         suffix = f"/{records.SPECIFICATION}/0"
         return [
             entry.key.removeprefix(records.PREFIX).removesuffix(suffix)
@@ -155,12 +166,12 @@
         ]
 
     def has_end(self, batch_id: str) -> bool:
-        """Tells whether the store is known to hold a batch's end."""
+        """Returns whether the store is known to hold a batch's end."""
         key = records.batch_key(batch_id, records.END)
         return key in self.mirror.entries
 
-    def _take_head(self, entry: stores.Entry) -> None:
-        """Takes over a changed key that is not one of results."""
+    def _apply_batch_entry(self, entry: stores.Entry) -> None:
+        """Applies a changed specification part or end of a batch."""
         rest = entry.key.removeprefix(records.PREFIX)
         batch_id, _, rest = rest.partition("/")
         kind, _, number = rest.partition("/")
@@ -169,14 +180,14 @@
             if kind == records.SPECIFICATION:
                 self.mirror.discard_value(entry.key)
         elif kind == records.SPECIFICATION and entry.value is None:
-            self._note_forgotten(batch_id)
+            self._remove(batch_id)
         elif kind == records.SPECIFICATION:
-            self._take_specification(batch_id, number, entry)
+            self._apply_specification(batch_id, number, entry)
         elif kind == records.END and batch_id in self.records:
             self.records[batch_id].mark_ended()
             self.on_change()
 
-    def _note_forgotten(self, batch_id: str) -> None:
+    def _remove(self, batch_id: str) -> None:
         self.summaries.pop(batch_id, None)
         self.last_read_at.pop(batch_id, None)
         self.load_candidates.discard(batch_id)
@@ -184,43 +195,43 @@
         if record is not None:
             record.is_removed = True
 
-    def _take_specification(
+    def _apply_specification(
         self, batch_id: str, number: str, entry: stores.Entry
     ) -> None:
         self.mirror.discard_value(entry.key)
         if not entry.value or batch_id in self.records:
             return
-        parts = self.waiting_parts.setdefault(batch_id, {})
+        parts = self.received_parts.setdefault(batch_id, {})
         parts[number] = entry.value
         record = decoding.decode_entry(entry, lambda _: records.assemble(parts))
         if record is None:
             return
-        del self.waiting_parts[batch_id]
+        del self.received_parts[batch_id]
         model = record.batch.model
         self.summaries[batch_id] = BatchSummary(record.submitted_ms, model)
-        # An end writes the specification anew, long after the results.
+        # Ending a batch rewrites its specification, long after the results.
         is_new = entry.created == entry.revision
         if not is_new or self._may_have_results(batch_id):
             self.load_candidates.add(batch_id)
         elif self.interest.includes(batch_id, model):
-            self._hold(record)
+            self._add_record(record)
 
-    def _hold(self, record: records.Record) -> None:
-        """Knows a batch in full from here on."""
+    def _add_record(self, record: records.Record) -> None:
+        """Adds a record to the cache."""
         batch_id = record.batch.id
         if self.has_end(batch_id):
-            # The end may have been heard of before what the batch came from.
+            # The record may come from a snapshot that is older than the end.
             record.mark_ended()
         self.records[batch_id] = record
         self.on_change()
 
     def _may_have_results(self, batch_id: str) -> bool:
-        """Tells whether results may have come before their batch."""
+        """Returns whether results may have arrived before the specification."""
         prefix = f"{records.RESULTS_PREFIX}{batch_id}/"
         return self.mirror.is_loading or bool(self.mirror.entries_under(prefix))
 
-    def _take_results(self, entry: stores.Entry) -> None:
-        """Takes over a changed key of results."""
+    def _apply_results(self, entry: stores.Entry) -> None:
+        """Applies a changed chunk of results."""
         rest = entry.key.removeprefix(records.RESULTS_PREFIX)
         batch_id, _, number = rest.partition("/")
         if entry.value is None:
@@ -236,44 +247,48 @@
             entry, lambda v: record.add_encoded_chunk(int(number), v)
         )
 
-    def _note_reloaded(self) -> None:
-        """Has all batches looked at again: results may have been missed."""
+    def _mark_all_incomplete(self) -> None:
+        """Marks all records as incomplete after a reload of the mirror.
+
+        A reload does not read results, so some may have been missed.
+        """
         for record in self.records.values():
             record.mark_incomplete()
         self.reload_count += 1
 
-    async def accept(self, new: batch.Batch, patience_s: float) -> bool:
-        """Keeps a batch; once it returns, the store has it.
+    async def accept(self, new: batch.Batch, timeout_s: float) -> bool:
+        """Writes a batch to the store, and returns once the store has it.
 
         Args:
             new: The batch.
-            patience_s: Seconds that the sender will wait.
+            timeout_s: Seconds after which no failed write is retried.
 
         Returns:
-            Whether it is new; False if it was there already.
+            Whether the batch is new; False if it was already in the store.
 
         Raises:
-            ServiceError: ``STORE_UNAVAILABLE`` if it was surely not kept,
-                ``BATCH_UNDECIDED`` if that is not known.
+            ServiceError: ``STORE_UNAVAILABLE`` if the batch was certainly not
+                written, ``BATCH_UNDECIDED`` if it may have been.
         """
         if new.id in self.records:
             return False
-        self._note_read(new.id)
+        self._touch(new.id)
         now_ms = int(self.clock.now().timestamp() * 1000)
         transaction = transactions.make_acceptance(new, now_ms, self.part_bytes)
         reload_count = self.reload_count
         is_new = await transactions.commit_with_retries(
-            self.store, self.clock, transaction, patience_s, new.id
+            self.store, self.clock, transaction, timeout_s, new.id
         )
         if is_new:
             self.mirror.skip_pause()
         if is_new and self.reload_count == reload_count:
-            # After a reload the mirror has told of it, not of first results.
+            # A reload of the mirror in between delivers the batch but not its
+            # first results, so the batch must not be added without results.
             for put in transaction.puts:
-                self._take_head(stores.Entry(put.key, put.value, 0))
+                self._apply_batch_entry(stores.Entry(put.key, put.value, 0))
         return is_new
 
-    def _note_read(self, batch_id: str) -> None:
+    def _touch(self, batch_id: str) -> None:
         self.last_read_at[batch_id] = self.clock.monotonic()
         self.update_interest()
 
@@ -282,25 +297,25 @@
 
         Raises:
             ServiceError: ``BATCH_UNKNOWN`` if the store has none, and
-                ``STORE_UNAVAILABLE`` if that cannot be known.
+                ``STORE_UNAVAILABLE`` if that cannot be determined.
         """
         record = self.records.get(batch_id)
         if record is None:
             record = await self.load(batch_id, is_read=True)
         if record is None or record.batch.organisation != organisation:
             raise errors.ServiceError(errors.ResultCode.BATCH_UNKNOWN)
-        self._note_read(batch_id)
+        self._touch(batch_id)
         return record
 
     async def load(
         self, batch_id: str, is_read: bool, asks_nodes: bool = True
     ) -> records.Record | None:
-        """Has a batch known in full; None if it does not exist.
+        """Returns a batch, loaded if necessary; None if it does not exist.
 
         Args:
             batch_id: The batch.
-            is_read: Whether it is wanted whatever its model is.
-            asks_nodes: Whether another node's copy will do.
+            is_read: Whether to cache it even if its model is not of interest.
+            asks_nodes: Whether another node's snapshot may be used.
 
         Raises:
             ServiceError: ``STORE_UNAVAILABLE``.
@@ -323,32 +338,32 @@
     def _end_load(
         self, batch_id: str, record: records.Record | None, is_read: bool
     ) -> None:
-        """Takes over what a load has brought, and the changes meanwhile."""
+        """Caches a loaded record and applies changes received meanwhile."""
         pending = self.pending_loads.pop(batch_id)
         pending.done.set()
         if record is not None:
-            self._keep(record, is_read)
-        # Without a record, these may be the first that tell of the batch.
+            self._add_loaded(record, is_read)
+        # Without a record, these may be the first that announce the batch.
         for entry in pending.entries:
-            self._take_again(entry)
+            self._apply_entry(entry)
         held = record or self.records.get(batch_id)
         if held is not None and self.reload_count != pending.reload_count:
             held.mark_incomplete()
 
-    def _keep(self, record: records.Record, is_read: bool) -> None:
+    def _add_loaded(self, record: records.Record, is_read: bool) -> None:
         batch_id, model = record.batch.id, record.batch.model
         self.summaries[batch_id] = BatchSummary(record.submitted_ms, model)
         if is_read:
             self.last_read_at[batch_id] = self.clock.monotonic()
         if is_read or self.interest.includes(batch_id, model):
-            self._hold(record)
+            self._add_record(record)
 
-    def _take_again(self, entry: stores.Entry) -> None:
-        """Takes over a change that came while its batch was loaded."""
+    def _apply_entry(self, entry: stores.Entry) -> None:
+        """Applies a change that was received while its batch was loaded."""
         if entry.key.startswith(records.PREFIX):
-            self._take_head(entry)
+            self._apply_batch_entry(entry)
         else:
-            self._take_results(entry)
+            self._apply_results(entry)
 
     async def read(
         self, record: records.Record, after: int, wait_s: float
@@ -377,13 +392,13 @@
         return record.page(after)
 
     def _may_lack_results(self, record: records.Record) -> bool:
-        """Tells whether other nodes may show results that are not known here.
+        """Returns whether other nodes may have results that this one lacks.
 
-        Also of an ended batch: this node may have ended it before its mirror
-        told of the results.
+        That holds for an ended batch, too: this node may have ended it before
+        the mirror delivered the results.
         """
         is_whole = len(record.results) >= len(record.batch.items)
-        is_stale = self.mirror.age_s() > STALE_S or not record.is_current
+        is_stale = self.mirror.age_s() > MIRROR_STALE_S or not record.is_current
         return is_stale and not is_whole
 
     async def _wait_for_result(
@@ -393,23 +408,23 @@
             while after >= len(record.results) and record.is_open():
                 await self.mirror.changed.wait()
 
-    async def end(self, record: records.Record, patience_s: float) -> None:
-        """Ends a batch; once it returns, the store knows it.
+    async def end(self, record: records.Record, timeout_s: float) -> None:
+        """Ends a batch, and returns once the store has the end.
 
         Raises:
             ServiceError: ``STORE_UNAVAILABLE`` or ``BATCH_UNDECIDED``.
         """
         if record.is_ended:
             return
-        transaction = transactions.make_end(record, self._parts_of(record))
+        transaction = transactions.make_end(record, self._count_parts(record))
         await transactions.commit_with_retries(
-            self.store, self.clock, transaction, patience_s, record.batch.id
+            self.store, self.clock, transaction, timeout_s, record.batch.id
         )
         record.mark_ended()
         self.mirror.skip_pause()
 
-    def _parts_of(self, record: records.Record) -> int:
-        """Returns over how many values a batch is spread; 0 if unknown."""
+    def _count_parts(self, record: records.Record) -> int:
+        """Returns how many stored values hold a batch's items; 0 if unknown."""
         if self.mirror.is_loading:
             return 0
         prefix = records.batch_key(record.batch.id, records.SPECIFICATION)
@@ -418,14 +433,16 @@
     async def append(
         self, additions: list[tuple[records.Record, records.Chunk]]
     ) -> bool:
-        """Lists results of several batches at the next positions, or none.
+        """Appends results to several batches in one transaction.
 
         Returns:
-            Whether they are listed. If not, the book has been brought up to
-            date and the caller decides anew what is still to be listed.
+            Whether the results were written. If not, another node had written
+            at one of the positions; the records have been refreshed, and the
+            caller decides again which results are missing.
 
         Raises:
-            StoreError: If the fate is not known; it shows in the book later.
+            StoreError: If the write failed or got no answer. If it was executed
+                nevertheless, the mirror delivers the results later.
         """
         puts = []
         for record, chunk in additions:
@@ -450,5 +467,5 @@
 
 
 def log_load_failure(batch_id: str, error: errors.ServiceError) -> None:
-    """Logs a batch that could not be had."""
+    """Logs that a batch could not be loaded or refreshed."""
     events.log(events.Event.BATCH_UNREADABLE, batch=batch_id, reason=str(error))
