--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -157,7 +157,7 @@
         "key = next((k for k in self.copied_results if k[1] == sample.id), "
         "None)",
         SITE + "test_versions.VersionTest"
-        ".test_result_of_an_ended_batch_is_not_listed_in_another",
+        ".test_result_of_an_ended_batch_is_not_used_for_another",
     ),
     Break(
         "a mirror that missed a change is read anew",
--- a/tests/batches/test_decisions.py
+++ b/tests/batches/test_decisions.py
@@ -1,4 +1,7 @@
-"""Placement, moves, loads and sizes, each under the load it answers."""
+"""Decisions about placement, moves, weight loads, fleet size and refusals.
+
+Each is tested with the load pattern that it is made for.
+"""
 
 import random
 import unittest
@@ -27,7 +30,9 @@
 )
 
 
-def make_server(name, zone="a", slots=8, versions=None, pace=1.0, busy=0):
+def make_server(
+    name, zone="a", slots=8, versions=None, latency=1.0, in_flight=0
+):
     entry = registry.ServerEntry(
         name,
         "engines",
@@ -40,8 +45,8 @@
     return registry.Server(
         entry,
         versions=versions or {"m": 1},
-        relative_latency=pace,
-        in_flight=busy,
+        relative_latency=latency,
+        in_flight=in_flight,
     )
 
 
@@ -53,10 +58,11 @@
     return sample.Sample(item, record.Record(made, submitted_ms), ROUTE)
 
 
-def replay(choose, lengths, paces, slots=4, token_s=0.001):
-    """Returns when the last of a step's samples ends, in seconds."""
+def replay(choose, lengths, latencies, slots=4, token_s=0.001):
+    """Returns when the last of a step's samples finishes, in seconds."""
     servers = [
-        make_server(f"e{i}", slots=slots, pace=p) for i, p in enumerate(paces)
+        make_server(f"e{i}", slots=slots, latency=value)
+        for i, value in enumerate(latencies)
     ]
     waiting = [make_sample(f"s{i}", n) for i, n in enumerate(lengths)]
     ends = []
@@ -81,7 +87,7 @@
     return now
 
 
-def choose_well(waiting, servers, now, token_s):
+def choose_by_slack(waiting, servers, now, token_s):
     each = placement.place_by_slack(waiting, servers, {}, now, 0, token_s)
     return next(each, None)
 
@@ -91,18 +97,18 @@
 
 
 class PlacementTest(unittest.TestCase):
-    def test_step_with_few_long_samples_ends_sooner_than_by_arrival(self):
+    def test_step_with_few_long_samples_ends_sooner_than_in_arrival_order(self):
         rng = random.Random(7)
         better = worse = 0
         for _ in range(40):
             lengths = [rng.randint(100, 900) for _ in range(18)]
             lengths += [rng.randint(3000, 5000) for _ in range(2)]
             rng.shuffle(lengths)
-            paces = [1.0, 1.0, 1.3]
-            well = replay(choose_well, lengths, paces)
-            first = replay(choose_first, lengths, paces)
-            better += well < first
-            worse += well > first * 1.02
+            latencies = [1.0, 1.0, 1.3]
+            by_slack = replay(choose_by_slack, lengths, latencies)
+            first = replay(choose_first, lengths, latencies)
+            better += by_slack < first
+            worse += by_slack > first * 1.02
         self.assertGreaterEqual(better, 30)
         self.assertLessEqual(worse, 2)
 
@@ -114,17 +120,21 @@
             ("other_model", {"x": 9}, 3, 0.0, False),
         ]
     )
-    def test_engine_can_run(self, _, versions, minimum, closed, expected):
+    def test_engine_can_run(
+        self, _, versions, minimum, loading_until, expected
+    ):
         server = make_server("e", versions=versions)
-        server.no_samples_until["m"] = closed
+        server.no_samples_until["m"] = loading_until
         waiting = make_sample("s", minimum=minimum)
         self.assertEqual(placement.can_run(waiting, server, 5.0), expected)
 
     def test_full_engines_get_nothing(self):
-        servers = [make_server("e", slots=2, busy=2)]
-        self.assertIsNone(choose_well([make_sample("s")], servers, 0.0, 0.001))
+        servers = [make_server("e", slots=2, in_flight=2)]
+        self.assertIsNone(
+            choose_by_slack([make_sample("s")], servers, 0.0, 0.001)
+        )
 
-    def test_single_version_text_begins_anew_under_another_version(self):
+    def test_single_version_text_restarts_under_another_version(self):
         single = make_sample("s", minimum=2)
         single.route = catalogue.Route(
             "t",
@@ -194,49 +204,49 @@
             ),
         ]
     )
-    def test_should_move(self, _, pace, other, expected, verdict):
-        self.assertEqual(moving.should_move(pace, other, expected), verdict)
+    def test_should_move(self, _, run, other, expected, is_moved):
+        self.assertEqual(moving.should_move(run, other, expected), is_moved)
 
 
 class WeightsTest(unittest.TestCase):
-    def _play(self, choose, steps=12, engines=6, models=3):
-        """Returns loads, and steps that had no engine at their start."""
+    def _simulate(self, choose, steps=12, engines=6, models=3):
+        """Returns the number of loads, and of steps without a usable engine."""
         names = [f"m{i}" for i in range(models)]
         servers = [
             make_server(f"e{i}", versions=dict.fromkeys(names, 1))
             for i in range(engines)
         ]
-        named = dict.fromkeys(names, 1)
+        targets = dict.fromkeys(names, 1)
         assigned = {}
         loads = unserved = 0
         for step in range(2, steps):
             for model in names:
-                named[model] = step
-                assigned = weights.assign(servers, named, assigned)
+                targets[model] = step
+                assigned = weights.assign(servers, targets, assigned)
                 usable = [s for s in servers if s.versions[model] >= step - 1]
                 unserved += not usable
                 for _ in range(3):
-                    due = choose(servers, named, assigned)
+                    due = choose(servers, targets, assigned)
                     loads += len(due)
                     for load in due:
                         load.server.versions[load.model] = load.version
         return loads, unserved
 
-    def test_engines_alternate_and_load_less_than_all(self):
-        loads, unserved = self._play(
-            lambda servers, named, assigned: weights.choose_loads(
-                servers, named, assigned, 1, set()
+    def test_engines_alternate_and_load_less_than_in_the_baseline(self):
+        loads, unserved = self._simulate(
+            lambda servers, targets, assigned: weights.choose_loads(
+                servers, targets, assigned, 1, set()
             )
         )
-        all_loads, _ = self._play(
-            lambda servers, named, assigned: weights.choose_all(
-                servers, named, set()
+        all_loads, _ = self._simulate(
+            lambda servers, targets, assigned: weights.choose_all(
+                servers, targets, set()
             )
         )
         self.assertEqual(unserved, 0)
         self.assertLess(loads, all_loads / 2)
 
-    def test_few_load_at_a_time_and_the_neediest_model_first(self):
+    def test_few_engines_load_at_a_time_and_least_served_model_first(self):
         servers = [
             make_server(f"e{i}", versions={"a": 1, "b": 1}) for i in range(4)
         ]
@@ -247,19 +257,19 @@
         )
         self.assertEqual([load.model for load in due], ["b"])
 
-    def test_new_leader_finds_the_engines_of_a_model_by_their_weights(self):
+    def test_new_leader_assigns_engines_by_their_weights(self):
         servers = [make_server(f"e{i}", versions={"m": 1}) for i in range(6)]
         for server in servers[3:]:
             server.versions["m"] = 7
         found = weights.assign(servers, {"m": 7, "n": 1, "o": 1}, {})
         self.assertEqual(found["m"], {"e3", "e4", "e5"})
 
-    def test_lost_engine_moves_only_what_it_held(self):
+    def test_lost_engine_changes_few_assignments(self):
         servers = [make_server(f"e{i}") for i in range(6)]
-        named = {"m": 1, "n": 1}
-        before = weights.assign(servers, named, {})
-        after = weights.assign(servers[:-1], named, before)
-        for model in named:
+        targets = {"m": 1, "n": 1}
+        before = weights.assign(servers, targets, {})
+        after = weights.assign(servers[:-1], targets, before)
+        for model in targets:
             kept = before[model] - {"e5"}
             self.assertLessEqual(len(kept - after[model]), 1)
             self.assertNotIn("e5", after[model])
@@ -281,7 +291,7 @@
             fleetsize.wanted_by_zone(self.SCALING, total, closed), expected
         )
 
-    def test_peak_is_remembered_and_then_forgotten(self):
+    def test_peak_demand_is_kept_for_a_while(self):
         demand = fleetsize.Demand()
         demand.note(0.0, 40)
         demand.note(30.0, 0)
@@ -292,7 +302,7 @@
 
 class CallPlacementTest(unittest.TestCase):
     def _spread(self, choose):
-        """Returns the longest queue when callers come unevenly by zone."""
+        """Returns the longest queue if all callers are in one zone."""
         rng = random.Random(3)
         servers = [make_server(f"e{z}", z, 6) for z in "abc"]
         for _ in range(15):
@@ -300,25 +310,27 @@
             server.in_flight += 1
         return max(server.in_flight for server in servers)
 
-    def test_uneven_callers_are_spread_better_than_by_chance(self):
-        well = self._spread(call_placement.choose)
-        chance = self._spread(call_placement.choose_random)
-        self.assertLess(well, chance)
+    def test_uneven_callers_are_spread_better_than_at_random(self):
+        chosen = self._spread(call_placement.choose)
+        at_random = self._spread(call_placement.choose_random)
+        self.assertLess(chosen, at_random)
 
-    def test_own_zone_is_kept_while_it_costs_nothing(self):
+    def test_own_zone_is_preferred_if_it_costs_nothing(self):
         rng = random.Random(3)
         servers = [make_server(f"e{z}", z, 6) for z in "abc"]
         chosen = call_placement.choose(servers, "b", 0.0, rng)
         self.assertEqual(chosen.id, "eb")
 
 
-class RefusalTest(unittest.TestCase):
+class BackoffTest(unittest.TestCase):
     @parameterized.parameterized.expand(
         [(0.0, 2.0), (0.1, 2.0), (30.0, 2.0), (0.5, 0.1)]
     )
-    def test_callers_return_apart_and_in_time(self, wait_s, left_s):
+    def test_retry_delays_differ_and_stay_within_the_time_left(
+        self, wait_s, left_s
+    ):
         rng = random.Random(1)
-        told = {backoff.retry_after_s(wait_s, left_s, rng) for _ in range(20)}
-        self.assertTrue(all(0 < s <= max(0.05, left_s / 3) for s in told))
+        delays = {backoff.retry_after_s(wait_s, left_s, rng) for _ in range(20)}
+        self.assertTrue(all(0 < s <= max(0.05, left_s / 3) for s in delays))
         if wait_s < left_s / 4:
-            self.assertGreater(len(told), 5)
+            self.assertGreater(len(delays), 5)
--- a/tests/platform/test_ended.py
+++ b/tests/platform/test_ended.py
@@ -1,4 +1,8 @@
-"""Ended batches, and a node whose view of the store is older than the end."""
+"""Ended batches on nodes whose view of the store may be older than the end.
+
+A node that is cut off from the store does not learn that a batch was ended.
+It must still stop sending items and scoring calls of the batch in time.
+"""
 
 import unittest
 
@@ -13,45 +17,46 @@
 from tests.platform import harness
 
 DUTY = f"engines/{harness.MODEL}"
-# Items and scoring calls of an ended batch may reach servers for this long.
-CANCEL_S = 3.0
+# Items and scoring calls of a batch may reach servers for this long after the
+# batch was ended.
+MAX_CANCEL_S = 3.0
 
 
-def _cut_off(site, node):
-    """Keeps a node from the store and the other nodes, not from servers."""
+def _isolate(site, node):
+    """Disconnects a node from the store and the other nodes only."""
     for other in ("store", *(n.name for n in site.nodes if n is not node)):
         site.network.cut(node.name, other)
 
 
-def _lose_history(site, node):
-    """Has a node lose the store's history; its readings come too late."""
+def _compact_history(site, node):
+    """Makes a node's watch fail as compacted and its reads time out."""
 
-    async def lose(prefix, after, wait_s):
+    async def fail_watch(prefix, after, wait_s):
         raise stores.HistoryLostError
 
-    async def scan_too_late(prefix, after=""):
+    async def time_out(prefix, after=""):
         await trio.sleep(0.8)
-        raise stores.StoreError("no whole answer in time", True)
+        raise stores.StoreError("no complete response in time", True)
 
-    node.runtime.mirror.store.watch = lose
-    node.runtime.mirror.store.scan = scan_too_late
+    node.runtime.mirror.store.watch = fail_watch
+    node.runtime.mirror.store.scan = time_out
 
 
-def _watch_late(site, node):
-    """Has a node hear from the store with a delay of 1.6 s."""
+def _delay_watch(site, node):
+    """Delays the store's changes on their way to a node by 1.6 s."""
     store = node.runtime.mirror.store
     watch = store.watch
 
-    async def watch_late(prefix, after, wait_s):
+    async def delayed_watch(prefix, after, wait_s):
         page = await watch(prefix, after, 0)
         await trio.sleep(1.6)
         return page
 
-    store.watch = watch_late
+    store.watch = delayed_watch
 
 
-def _turn_away(node):
-    """Has the store answer none of a node's questions."""
+def _reject_store_calls(node):
+    """Makes the store reject a node's watches and reads."""
 
     async def refuse(*_):
         raise stores.StoreError("status 503", False)
@@ -69,22 +74,26 @@
     return response.status, trio.current_time()
 
 
-def _late(site, ended_at):
-    """Returns what began too long after the end, items and scoring calls."""
-    return [r.request for r in site.runs if r.at > ended_at + CANCEL_S]
+def _find_late_requests(site, ended_at):
+    """Returns the requests that started too long after a batch's end."""
+    return [r.request for r in site.runs if r.at > ended_at + MAX_CANCEL_S]
 
 
-class OldViewTest(unittest.TestCase):
+class OutdatedViewTest(unittest.TestCase):
     @parameterized.parameterized.expand(
         [
-            (f"{kind}_{blind.__name__.strip('_')}", is_scored, blind)
+            (
+                f"{kind}_{make_outdated.__name__.strip('_')}",
+                is_scored,
+                make_outdated,
+            )
             for kind, is_scored in (("items", False), ("scoring", True))
-            for blind in (_cut_off, _lose_history)
+            for make_outdated in (_isolate, _compact_history)
         ]
     )
     @virtual.on_virtual_time
-    async def test_nothing_of_an_ended_batch_is_sent_by_an_old_view(
-        self, _, is_scored, blind
+    async def test_node_with_outdated_view_sends_nothing_of_an_ended_batch(
+        self, _, is_scored, make_outdated
     ):
         async with harness.launch(nodes=3) as site:
             for name in ("e1", "e2"):
@@ -95,18 +104,18 @@
             other = site.other(runner)
             await site.submit(other, items=120, scored=is_scored)
             await trio.sleep(1)
-            blind(site, runner)
+            make_outdated(site, runner)
             await trio.sleep(0.5)
             status, ended_at = await _end(site, other)
             self.assertEqual(status, 200)
-            await trio.sleep(CANCEL_S)
+            await trio.sleep(MAX_CANCEL_S)
             for name in ("p1", "p2"):
                 site.servers[name].is_full = False
             await trio.sleep(6)
-            self.assertEqual(_late(site, ended_at), [])
+            self.assertEqual(_find_late_requests(site, ended_at), [])
 
     @virtual.on_virtual_time
-    async def test_item_is_kept_back_whose_batch_ends_while_it_connects(self):
+    async def test_item_is_not_sent_if_its_batch_ends_while_connecting(self):
         async with harness.launch(nodes=1) as site:
             (node,) = site.nodes
             for name in ("e1", "e2"):
@@ -117,17 +126,17 @@
             (sample,) = coordinator.open_samples()
             generator = coordinator.generator
             coordinator.set_active(harness.MODEL, False)
-            began = len(site.runs)
+            runs_before = len(site.runs)
             server = node.runtime.server_registry.servers["e1"]
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(generator.run, sample, server)
                 await trio.sleep(0)
                 sample.record.mark_ended()
-            self.assertEqual(len(site.runs), began)
+            self.assertEqual(len(site.runs), runs_before)
             self.assertEqual(server.failures, 0)
 
     @virtual.on_virtual_time
-    async def test_item_that_was_given_up_before_its_task_began_stays_so(self):
+    async def test_run_cancelled_before_its_task_starts_sends_nothing(self):
         async with harness.launch(nodes=1) as site:
             (node,) = site.nodes
             for name in ("e1", "e2"):
@@ -135,26 +144,31 @@
             coordinator = node.runtime.services["engines"].coordinator
             await site.submit(node, items=1)
             coordinator.set_active(harness.MODEL, False)
-            began = len(site.runs)
+            runs_before = len(site.runs)
             async with trio.open_nursery() as nursery:
                 coordinator.set_active(harness.MODEL, True)
                 coordinator.dispatch(nursery)
                 (sample,) = coordinator.open_samples()
                 self.assertEqual(sample.stage, samples.Stage.GENERATING)
                 coordinator.set_active(harness.MODEL, False)
-            self.assertEqual(len(site.runs), began)
+            self.assertEqual(len(site.runs), runs_before)
 
     @virtual.on_virtual_time
-    async def test_old_answer_of_another_node_is_no_sign_of_a_silent_store(
+    async def test_outdated_peer_response_does_not_prove_a_store_outage(
         self,
     ):
+        """Samples may run on while the store is unreachable for all nodes.
+
+        A node that the store rejects asks another node, whose watch is late.
+        That node's outdated response must not count as such an outage.
+        """
         async with harness.launch(nodes=3) as site:
             for name in ("e1", "e2"):
                 site.servers[name].length = 60
             leader = site.holder(DUTY)
             runner, third = [n for n in site.nodes if n is not leader]
-            _watch_late(site, leader)
-            _turn_away(runner)
+            _delay_watch(site, leader)
+            _reject_store_calls(runner)
             await site.submit(third, items=120, scored=False)
             await trio.sleep(2)
             status, ended_at = await _end(site, third)
@@ -162,14 +176,18 @@
             while trio.current_time() < ended_at + 6:
                 runner.runtime.models[DUTY].take_over(leader.name)
                 await trio.sleep(0.1)
-            self.assertEqual(_late(site, ended_at), [])
+            self.assertEqual(_find_late_requests(site, ended_at), [])
 
 
-class LoadedAnewTest(unittest.TestCase):
-    """A running batch that the book has let go of and loaded anew."""
+class ReloadedBatchTest(unittest.TestCase):
+    """A running batch that the cache has evicted and loaded again.
 
-    async def _make_loaded_anew(self, site):
-        """Returns a node that runs b1, and has loaded it anew since."""
+    The coordinator then holds a record that is no longer updated, and has to
+    replace it by the new one.
+    """
+
+    async def _make_reloaded(self, site):
+        """Returns a node that runs b1 and has loaded it again since."""
         holder = site.holder(DUTY)
         node = next(
             n
@@ -180,7 +198,8 @@
         await site.submit(node)
         batch_cache = node.runtime.batch_cache
         batch_cache.last_read_at["b1"] -= maintenance.READ_TTL_S
-        # Until its interest is set, nothing but the read keeps the batch.
+        # Until the node's interest includes the model, the cache keeps the
+        # batch only because it was read recently.
         node.runtime.models[DUTY].take_over(holder.name)
         before = batch_cache.records["b1"]
         with trio.move_on_after(0.01):
@@ -190,11 +209,11 @@
         return node
 
     @virtual.on_virtual_time
-    async def test_end_reaches_the_items_of_a_batch_loaded_anew(self):
+    async def test_end_stops_the_items_of_a_reloaded_batch(self):
         async with harness.launch(nodes=8) as site:
             for name in ("e1", "e2"):
                 site.servers[name].length = 300
-            node = await self._make_loaded_anew(site)
+            node = await self._make_reloaded(site)
             coordinator = node.runtime.services["engines"].coordinator
             self.assertEqual(len(coordinator.open_samples()), 4)
             response = await site.call(
@@ -205,25 +224,27 @@
             self.assertEqual([s.id for s in coordinator.open_samples()], [])
 
     @virtual.on_virtual_time
-    async def test_texts_go_on_in_a_batch_loaded_anew(self):
+    async def test_texts_continue_in_a_reloaded_batch(self):
         async with harness.launch(nodes=8) as site:
             for name in ("e1", "e2"):
                 site.servers[name].length = 60
-            node = await self._make_loaded_anew(site)
+            node = await self._make_reloaded(site)
             coordinator = node.runtime.services["engines"].coordinator
             texts = [len(s.events) for s in coordinator.open_samples()]
             self.assertGreater(min(texts), 15)
-            held = {s.record for s in coordinator.open_samples()}
-            self.assertEqual(held, {node.runtime.batch_cache.records["b1"]})
+            used = {s.record for s in coordinator.open_samples()}
+            self.assertEqual(used, {node.runtime.batch_cache.records["b1"]})
             results = await site.read_all(site.other(node))
             self.assertEqual(
                 [r["text"] for r in results], [harness.text_of(60)] * 4
             )
 
 
-class EndedPageTest(unittest.TestCase):
+class EndedBatchResultsTest(unittest.TestCase):
+    """A node ends a batch before its mirror includes the batch's results."""
+
     @virtual.on_virtual_time
-    async def test_node_that_ended_a_batch_by_an_old_view_shows_all_results(
+    async def test_node_with_outdated_view_returns_all_results_after_the_end(
         self,
     ):
         async with harness.launch(nodes=3) as site:
@@ -245,6 +266,8 @@
 
 
 class DrainingTest(unittest.TestCase):
+    """A node whose mirror has stopped does not learn that servers drain."""
+
     @virtual.on_virtual_time
     async def test_old_view_sends_no_calls_to_draining_servers(self):
         async with harness.launch(nodes=3) as site:
--- a/tests/platform/test_lease_expiry.py
+++ b/tests/platform/test_lease_expiry.py
@@ -1,4 +1,8 @@
-"""Calls whose permission runs out before they leave."""
+"""Orders and reports whose lease expires while their connection is opened.
+
+Only the holder of a duty may send them, so the lease is checked again right
+before the first byte.
+"""
 
 import contextlib
 import unittest
@@ -19,36 +23,37 @@
 from tests import virtual
 
 TTL_S = 2.1
-# Opening a connection takes this long while a packet is lost, or while the
-# process or its VM is paused between the check and the first byte.
-LATE_S = 0.6
-# What is left of the lease then is less than that.
-CHECKED_S = 1.2
+# Time to open a connection if a packet is lost, or if the process or its VM is
+# paused between the check and the first byte.
+SLOW_CONNECT_S = 0.6
+# Time of the check. What remains of the lease then, without its safety margin,
+# is less than the time to open a slow connection.
+CHECKED_AT_S = 1.2
 
 
-class SlowExchanger:
-    """Opens a connection late, and notes what leaves on it."""
+class SlowHttpClient:
+    """Opens connections after a delay and records the requests sent."""
 
     def __init__(self, delay_s):
         self.delay_s = delay_s
-        self.left = []
+        self.sent = []
 
     @contextlib.asynccontextmanager
     async def open(self, address, request, timeout_s):
         await trio.sleep(self.delay_s)
         request.before_send()
-        self.left.append(request)
+        self.sent.append(request)
         yield message.Response(200)
 
 
-def _make_tenure(clock):
+def _make_duty_lock(clock):
     session = locks.LeaseSession(None, clock, "n1", TTL_S)
     session.lease = 7
     session.ends_at = clock.monotonic() + TTL_S
     mirror = mirrors.StoreMirror(None, clock, "n1", lambda: 0.0, None)
-    tenure = locks.DutyLock("duty", session, mirror, clock)
-    tenure.fencing_token, tenure.lease = 3, 7
-    return tenure
+    duty_lock = locks.DutyLock("duty", session, mirror, clock)
+    duty_lock.fencing_token, duty_lock.lease = 3, 7
+    return duty_lock
 
 
 async def _report(http_client, holder):
@@ -72,29 +77,32 @@
 class LeaseExpiryTest(unittest.TestCase):
     @parameterized.parameterized.expand(
         [
-            (f"{name}_{when}", send, delay_s, leaves)
+            (f"{name}_{when}", send, delay_s, expected_sent)
             for name, send in (
                 ("usage", _report),
                 ("scale", _scale),
                 ("load", _load),
             )
-            for when, delay_s, leaves in (("soon", 0.2, 1), ("late", LATE_S, 0))
+            for when, delay_s, expected_sent in (
+                ("soon", 0.2, 1),
+                ("late", SLOW_CONNECT_S, 0),
+            )
         ]
     )
     @virtual.on_virtual_time
-    async def test_nothing_leaves_once_the_lease_may_be_over(
-        self, _, send, delay_s, leaves
+    async def test_nothing_is_sent_after_the_lease_may_have_expired(
+        self, _, send, delay_s, expected_sent
     ):
         clock = virtualtime.VirtualClock()
-        tenure = _make_tenure(clock)
-        await trio.sleep(CHECKED_S)
-        self.assertTrue(tenure.is_held())
-        http_client = SlowExchanger(delay_s)
+        duty_lock = _make_duty_lock(clock)
+        await trio.sleep(CHECKED_AT_S)
+        self.assertTrue(duty_lock.is_held())
+        http_client = SlowHttpClient(delay_s)
         failures = (
             windows.ReportError,
             fleetsize.OrderError,
             serverclient.ServerError,
         )
         with contextlib.suppress(*failures):
-            await send(http_client, tenure.holder())
-        self.assertEqual(len(http_client.left), leaves)
+            await send(http_client, duty_lock.holder())
+        self.assertEqual(len(http_client.sent), expected_sent)
--- a/tests/platform/test_slow.py
+++ b/tests/platform/test_slow.py
@@ -1,4 +1,4 @@
-"""Slow servers that are sound, and stalled ones that are not."""
+"""Slow servers, whose runs must finish, and stalled servers, whose runs end."""
 
 import unittest
 
@@ -25,8 +25,8 @@
 ENGINES = ("e1", "e2")
 
 
-def _trickle(server, pause_s):
-    """Has a server send a byte now and then, and never an event."""
+def _send_bytes_without_events(server, pause_s):
+    """Makes a server send single bytes that never form an event."""
 
     async def stream(run):
         while True:
@@ -56,9 +56,9 @@
             self.assertEqual(texts, 2 * [harness.text_of(length)])
 
     @virtual.on_virtual_time
-    async def test_stalled_engine_is_left_for_another(self):
+    async def test_samples_of_a_stalled_engine_run_on_another(self):
         async with harness.launch() as site:
-            _trickle(site.servers["e1"], 0.3)
+            _send_bytes_without_events(site.servers["e1"], 0.3)
             await site.submit(site.nodes[0])
             results = await site.read_all(site.nodes[0])
             texts = [result["text"] for result in results]
@@ -84,7 +84,7 @@
         )
 
     @virtual.on_virtual_time
-    async def test_slow_stream_is_whole(self):
+    async def test_slow_stream_is_complete(self):
         async with harness.launch(nodes=1) as site:
             for name in ENGINES:
                 site.servers[name].event_s = 1.1
@@ -93,11 +93,11 @@
             self.assertEqual(response.body.count(b"id: "), 5)
 
     @virtual.on_virtual_time
-    async def test_stalled_stream_ends_with_its_time(self):
+    async def test_stalled_stream_ends_at_its_deadline(self):
         async with harness.launch(nodes=1) as site:
             for name in ENGINES:
-                _trickle(site.servers[name], 0.3)
-            began_at = trio.current_time()
+                _send_bytes_without_events(site.servers[name], 0.3)
+            started_at = trio.current_time()
             with self.assertRaisesRegex(Exception, "without end"):
                 await self._open(site)
-            self.assertLess(trio.current_time() - began_at, 1 + 6 + 0.25)
+            self.assertLess(trio.current_time() - started_at, 1 + 6 + 0.25)
--- a/tests/platform/test_thundering_herd.py
+++ b/tests/platform/test_thundering_herd.py
@@ -1,4 +1,9 @@
-"""Many nodes that start at the same moment, as after a loss of power."""
+"""Many nodes that start at the same moment, as after a loss of power.
+
+Each of them reads the store, whose link is limited. Calls must be answered
+before the nodes have read all batches, and an ended batch must take little
+space in the store.
+"""
 
 import base64
 import unittest
@@ -15,9 +20,10 @@
 NODES = 12
 ITEMS = 16
 BODY = base64.b64encode(20_000 * b"x").decode()
-# A twelfth of what a store's link carries on a large deployment.
+# A twelfth of the bandwidth of a store's link in a large deployment.
 LINK_BYTES_PER_S = 12e6
-# A caller's usual time limit is 2 s, and it comes again within that.
+# Callers usually allow 2 s and repeat a refused call within that time, so a
+# node has to answer calls after READY_S and return results after READABLE_S.
 READY_S = 0.7
 READABLE_S = 2.5
 
@@ -60,19 +66,19 @@
                     await _end(site, f"b{number}")
             await trio.sleep(1)
             site.store.link_bytes_per_s = LINK_BYTES_PER_S
-            began_at = trio.current_time()
+            started_at = trio.current_time()
             nodes = [_start(site, f"m{n}") for n in range(count)]
             for node in nodes:
-                await self._answers(site, node, began_at + READY_S)
+                await self._wait_for_answer(site, node, started_at + READY_S)
             for node in nodes:
-                with trio.fail_at(began_at + READABLE_S):
+                with trio.fail_at(started_at + READABLE_S):
                     for batch_id in ("b3", "b19"):
                         results = await site.read_all(node, batch_id)
                         self.assertEqual(len(results), ITEMS)
 
-    async def _answers(self, site, node, until):
+    async def _wait_for_answer(self, site, node, deadline):
         number = 0
-        while trio.current_time() < until:
+        while trio.current_time() < deadline:
             number += 1
             response = await site.call(
                 node,
@@ -87,15 +93,15 @@
             if response.status == 200:
                 return
             await trio.sleep(0.05)
-        self.fail(f"{node.name} has no answer yet")
+        self.fail(f"{node.name} answered no call in time")
 
 
-class EndedTest(unittest.TestCase):
+class EndedBatchSizeTest(unittest.TestCase):
     @parameterized.parameterized.expand(
         [("one_value", 1 << 20), ("several_values", 100_000)]
     )
     @virtual.on_virtual_time
-    async def test_ended_batch_takes_little_and_is_read_all_the_same(
+    async def test_ended_batch_is_small_and_still_readable(
         self, _, value_bytes
     ):
         async with harness.launch(nodes=1) as site:
--- a/tests/platform/test_versions.py
+++ b/tests/platform/test_versions.py
@@ -1,4 +1,4 @@
-"""Weight versions on the engines, and what runs under them."""
+"""Weight versions on the engines, and the samples that run under them."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 class VersionTest(unittest.TestCase):
     @virtual.on_virtual_time
-    async def test_result_of_an_ended_batch_is_not_listed_in_another(self):
+    async def test_result_of_an_ended_batch_is_not_used_for_another(self):
         async with harness.launch() as site:
             site.set_target_version(2)
             await trio.sleep(4)
@@ -31,7 +31,7 @@
                 self.assertEqual(result["text"], harness.text_of(10))
 
     @virtual.on_virtual_time
-    async def test_version_that_a_node_was_not_told_is_asked_for(self):
+    async def test_unknown_version_is_fetched_from_the_engine(self):
         async with harness.launch() as site:
             for server in site.servers.values():
                 if server.versions:
@@ -42,7 +42,7 @@
             self.assertEqual(versions, 4 * [[2]])
 
     @virtual.on_virtual_time
-    async def test_engines_alternate_and_no_text_is_too_old(self):
+    async def test_engines_load_alternate_versions_and_no_text_is_too_old(self):
         async with harness.launch() as site:
             node = site.nodes[0]
             for step in range(6):
@@ -64,7 +64,7 @@
             )
 
     @virtual.on_virtual_time
-    async def test_paused_holder_gives_no_order_after_its_lease(self):
+    async def test_isolated_holder_gives_no_order_after_its_lease(self):
         async with harness.launch(nodes=3) as site:
             leader = site.holder()
             site.network.cut(leader.name, "store")
