--- a/src/kingcupscale/storage/mirror.py
+++ b/src/kingcupscale/storage/mirror.py
@@ -1,4 +1,9 @@
-"""A mirror of the store's keys, kept by one watch a node."""
+"""A local mirror of the shared store, kept current by one watch per node.
+
+``StoreMirror`` holds all keys in memory, notifies listeners of changes and
+knows how old its state is. It watches the store or, on most nodes, follows the
+mirror of another node.
+"""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -13,52 +18,60 @@
 from kingcupscale.storage import changelog
 from kingcupscale.storage import store as stores
 
-# A watch that hears nothing is ended by the store after this long, so that a
-# silent connection is noticed within a second or so.
+# The store ends a watch without changes after this time, so that a dead
+# connection is detected within about a second.
 WATCH_TIMEOUT_S = 0.5
 MIN_RETRY_S = 0.1
 MAX_RETRY_S = 0.5
-# A followed mirror that is older than this is no better than none.
+# A followed mirror that is older than this is not used; the store is watched
+# instead.
 MAX_FOLLOWED_AGE_S = 1.1
-# A node that knows other things than the one that it follows for this long
-# has missed a change; own writes are known to both within a second.
+# If the checksum differs from that of the followed node for longer than this, a
+# change was missed. A node's own writes reach both nodes within a second.
 MAX_DIFFERENCE_S = 2.0
 
 Listener = Callable[[stores.Entry], None]
-# Returns another node's changes past a position; None if there is no node to
-# follow or it does not answer.
+# Returns another node's changes after a position; None if there is no node to
+# follow or it does not respond.
 Follow = Callable[[changelog.Position], Awaitable[changelog.Changes | None]]
 
 
 class StoreMirror:
-    """Every key of the store, and when it was last known to be current.
+    """All keys of the store, and the time at which they were last current.
 
-    One watch serves all parts of a node, and changes are taken in bunches, so
-    that the number of calls does not grow with the number of changes.
+    One watch serves all components of a node, and changes are read in batches,
+    so that the number of calls does not grow with the number of changes.
 
     Args:
         store: The shared store.
-        clock: Tells the time.
+        clock: Source of time.
         node: The node's name, for the log.
-        pause_s: Shortest time between two watches, in seconds; by need.
-        follow: Reads another node's mirror where that is wanted.
+        pause_s: Returns the shortest time between two watches, in seconds.
+        follow: Reads the mirror of another node, if there is one to follow.
 
     Attributes:
         entries: Present entries by key.
-        revision: The store's revision up to which nothing is missing.
-        current_at: Monotonic time at which the last good answer was asked for;
-            negative before the first.
-        essential_at: Monotonic time at which all keys but the deferred
-            ones were asked for; negative before the first answer.
-        recovered_at: Monotonic time at which the store last came back.
+        listeners: Key prefixes and the listeners subscribed to them.
+        revision: Revision of the store up to which no change is missing.
+        current_at: Monotonic time at which the mirror was last known to be
+            current; negative before the first successful read.
+        essential_at: Monotonic time at which the last scan of all keys except
+            the deferred ones began; negative before the first one.
+        recovered_at: Monotonic time at which the last outage of the store
+            ended.
         is_following: Whether another node's mirror is followed.
-        is_unreachable: Whether neither the store nor another node answers.
-        checksum: Of all keys and their revisions, but those left out; equal
-            on nodes that know the same.
-        is_loading: Whether everything is being read anew.
-        on_reloaded: Called after changes may have been missed.
-        changed: Set and replaced whenever something has changed.
+        is_unreachable: Whether neither the store nor another node responds.
+        checksum: Checksum of all keys and their revisions, except the excluded
+            ones; equal on nodes with equal state.
+        differs_since: Monotonic time since which the checksum differs from
+            that of the followed node; None if it does not.
+        is_loading: Whether all keys are being read.
+        on_reloaded: Called after all keys were read, since changes may have
+            been missed before.
+        changed: Event that is set and replaced at each change.
+        pause_skipped: Event that ends the pause before the next watch.
         log: The latest changes, for nodes that follow this one.
+        position: Position in the change log of the followed node.
     """
 
     def __init__(
@@ -84,7 +97,7 @@
         self.is_unreachable = False
         self.is_following = False
         self.is_loading = False
-        self.on_reloaded: Callable[[], None] = _ignore
+        self.on_reloaded: Callable[[], None] = _do_nothing
         self.excluded_prefix = ""
         self.deferred_prefix = ""
         self.essential_at = -1.0
@@ -97,37 +110,41 @@
         self.position = changelog.Position("", 0, 0)
 
     def subscribe(self, prefix: str, listener: Listener) -> None:
-        """Calls a listener with every change under a prefix."""
+        """Calls a listener for each change of a key under a prefix."""
         self.listeners.append((prefix, listener))
 
     def exclude_prefix(self, prefix: str) -> None:
-        """Has the keys under a prefix left out when everything is read.
+        """Excludes the keys under a prefix from scans of the store.
 
-        Changes under it are heard of; its listener reads the rest by need.
+        Their changes are still received; the listener reads the other keys on
+        demand.
         """
         self.excluded_prefix = prefix
 
     def defer_prefix(self, prefix: str) -> None:
-        """Has the keys under a prefix read last when everything is read.
+        """Scans the keys under a prefix after all other keys.
 
-        What is large and not needed at once would hold up all else when many
-        nodes start together.
+        For large values that are not needed at once: when many nodes start
+        together, reading them first would delay everything else.
         """
         self.deferred_prefix = prefix
 
     def restart_follow(self) -> None:
-        """Drops a question to another node and asks it anew."""
+        """Cancels a pending request to the followed node and sends a new one.
+
+        The new request carries the current interest of this node.
+        """
         self.follow_scope.cancel()
         self.skip_pause()
 
     def age_s(self) -> float:
-        """Returns seconds since the mirror was known to be current."""
+        """Returns the seconds since the mirror was known to be current."""
         if self.current_at < 0:
             return float("inf")
         return self.clock.monotonic() - self.current_at
 
     def essential_age_s(self) -> float:
-        """Returns seconds since all but the deferred keys were current."""
+        """Returns the seconds since all but the deferred keys were current."""
         newest = max(self.current_at, self.essential_at)
         if newest < 0:
             return float("inf")
@@ -143,11 +160,11 @@
         return found
 
     def skip_pause(self) -> None:
-        """Has the next changes read without a pause."""
+        """Reads the next changes without a pause."""
         self.pause_skipped.set()
 
     def apply(self, entry: stores.Entry) -> None:
-        """Takes over one entry, unless a newer state of it is known."""
+        """Applies a change, unless the mirror has a newer state of its key."""
         known = self.entries.get(entry.key)
         if known is not None and known.revision >= entry.revision:
             return
@@ -165,13 +182,13 @@
                 listener(entry)
 
     def discard_value(self, key: str) -> None:
-        """Lets go of a value that its listener has taken over."""
+        """Frees the memory of a value that its listener has stored itself."""
         entry = self.entries.get(key)
         if entry is not None:
             self.entries[key] = attrs.evolve(entry, value=b"")
 
     def notify_changed(self) -> None:
-        """Wakes those who wait for changes."""
+        """Wakes all tasks that wait for changes."""
         changed, self.changed = self.changed, trio.Event()
         changed.set()
 
@@ -201,31 +218,34 @@
                 retry_s = min(MAX_RETRY_S, 2 * retry_s)
 
     async def _load(self) -> None:
-        """Reads everything; what is not found any more is removed."""
-        asked_at = self.clock.monotonic()
+        """Reads all keys and removes those that no longer exist."""
+        requested_at = self.clock.monotonic()
         self.is_loading = True
         try:
             first, found = await self._scan_all()
         finally:
             self.is_loading = False
-        # Pages are no snapshot: what changed between them is watched again.
+        # The pages are not one snapshot: keys may change between two of them.
+        # The watch starts at the first page's revision and repeats those
+        # changes.
         for key in [key for key in self.entries if key not in found]:
             is_older = self.entries[key].revision <= first
             if is_older and not self._is_excluded(key):
                 self.apply(stores.Entry(key, None, first))
         self.revision = first
-        # Changes between the pages are known already, so the watch that shows
-        # them again adds nothing to the log: it is complete from behind them.
+        # Changes between the pages are already applied, so the watch that
+        # repeats them does not add them to the log. The log is complete only
+        # after the newest of them.
         newest = max((e.revision for e in self.entries.values()), default=0)
         self.log.restart(max(first, newest))
-        self._note_current(asked_at)
+        self._note_current(requested_at)
 
     async def _scan_all(self) -> tuple[int, set[str]]:
-        """Returns the revision of the first page, and the keys found."""
-        asked_at = self.clock.monotonic()
+        """Scans all keys; returns the first page's revision and the keys."""
+        requested_at = self.clock.monotonic()
         found: set[str] = set()
         first = await self._scan("", found)
-        self.essential_at = asked_at
+        self.essential_at = requested_at
         if self.deferred_prefix:
             await self._scan(self.deferred_prefix, found)
         return first, found
@@ -233,8 +253,12 @@
     async def _scan(self, prefix: str, found: set[str]) -> int:
         """Reads the keys under a prefix; returns the first page's revision.
 
-        Keys that are left out or deferred are passed over, but for those
-        under the prefix itself.
+        Skips the excluded and the deferred prefix, unless it is the prefix
+        itself.
+
+        Args:
+            prefix: Prefix of the keys; empty for all.
+            found: Receives the keys that were read.
         """
         first = 0
         after, has_more = "", True
@@ -243,9 +267,9 @@
             first = first or page.revision
             has_more = page.has_more
             for entry in page.entries:
-                passed = self._skipped_prefix(entry.key, prefix)
-                if passed:
-                    after, has_more = _key_after_prefix(passed), True
+                skipped = self._skipped_prefix(entry.key, prefix)
+                if skipped:
+                    after, has_more = _key_after_prefix(skipped), True
                     break
                 after = entry.key
                 found.add(entry.key)
@@ -253,7 +277,7 @@
         return first
 
     def _skipped_prefix(self, key: str, prefix: str) -> str:
-        """Returns the prefix that a scan leaves out a key by, if any."""
+        """Returns the prefix to skip that contains a key; empty for none."""
         for skipped in (self.excluded_prefix, self.deferred_prefix):
             if skipped and skipped != prefix and key.startswith(skipped):
                 return skipped
@@ -265,8 +289,8 @@
         )
 
     async def _follow_peer(self) -> bool:
-        """Takes over another node's changes; False if there is none."""
-        asked_at = self.clock.monotonic()
+        """Applies another node's changes; returns False if none is usable."""
+        requested_at = self.clock.monotonic()
         position = changelog.Position(
             self.position.log, self.position.number, self.revision
         )
@@ -276,7 +300,7 @@
         if self.follow_scope.cancelled_caught:
             return True
         if changes is not None and self.is_unreachable:
-            self._catch_up(changes, asked_at - changes.age_s)
+            self._apply_outdated(changes, requested_at - changes.age_s)
         if changes is None or changes.age_s > MAX_FOLLOWED_AGE_S:
             self.position = changelog.Position("", 0, 0)
             return False
@@ -285,15 +309,23 @@
             self.apply(entry)
         self.position = changes.position
         self.revision = max(self.revision, changes.position.revision)
-        self._note_current(max(self.current_at, asked_at - changes.age_s))
+        self._note_current(max(self.current_at, requested_at - changes.age_s))
         if self.has_missed_changes(changes.checksum):
             await self._load_again()
         return True
 
-    def _catch_up(self, changes: changelog.Changes, current_at: float) -> None:
-        """Takes over all that an old mirror knows, as it may know of more.
+    def _apply_outdated(
+        self, changes: changelog.Changes, current_at: float
+    ) -> None:
+        """Applies changes of a node whose own mirror is outdated.
+
+        While the store is unreachable, that node may still have newer state.
+        If it does not, its response shows that it does not reach the store
+        either.
 
-        The answers of a node that knows nothing newer tell of a silent store.
+        Args:
+            changes: The changes.
+            current_at: Monotonic time at which the other mirror was current.
         """
         for entry in changes.entries:
             self.apply(entry)
@@ -302,7 +334,7 @@
         self.notify_changed()
 
     async def _load_again(self) -> None:
-        """Reads everything if the store answers; goes on following if not."""
+        """Reads all keys; keeps following if the store does not respond."""
         try:
             await self._load()
             self.on_reloaded()
@@ -312,13 +344,13 @@
             )
 
     def has_missed_changes(self, checksum: int) -> bool:
-        """Tells whether the followed node has known other things for long.
+        """Returns whether a change was missed, judging by the checksums.
 
-        Both may know of own writes before the other does, so a difference
-        counts only if it lasts.
+        Each node applies its own writes before the other one receives them, so
+        only a difference that lasts longer than ``MAX_DIFFERENCE_S`` counts.
 
         Args:
-            checksum: Of the other node.
+            checksum: Checksum of the followed node.
         """
         now = self.clock.monotonic()
         if checksum == self.checksum:
@@ -337,19 +369,23 @@
         return False
 
     async def _watch_store(self) -> None:
-        asked_at = self.clock.monotonic()
+        """Applies the next changes of the store."""
+        requested_at = self.clock.monotonic()
         page = await self.store.watch("", self.revision, WATCH_TIMEOUT_S)
         for entry in page.entries:
             self.apply(entry)
         self.revision = max(self.revision, page.revision)
-        # An empty answer that was kept back for the whole of the wait tells
-        # that nothing came until then.
-        waited_s = self.clock.monotonic() - asked_at
+        # An empty response at the end of the whole wait means that nothing
+        # changed until then; an early one says so only of the time at which
+        # the request was sent.
+        waited_s = self.clock.monotonic() - requested_at
         is_quiet = not page.entries and waited_s >= WATCH_TIMEOUT_S
-        self._note_current(asked_at + (WATCH_TIMEOUT_S if is_quiet else 0.0))
+        self._note_current(
+            requested_at + (WATCH_TIMEOUT_S if is_quiet else 0.0)
+        )
 
-    def _note_current(self, asked_at: float) -> None:
-        self.current_at = asked_at
+    def _note_current(self, current_at: float) -> None:
+        self.current_at = current_at
         if self.is_unreachable:
             self.is_unreachable = False
             self.recovered_at = self.clock.monotonic()
@@ -370,16 +406,16 @@
 
 
 def _key_after_prefix(prefix: str) -> str:
-    """Returns the least key behind all keys under a prefix."""
+    """Returns the smallest key that is after all keys under a prefix."""
     return prefix[:-1] + chr(ord(prefix[-1]) + 1)
 
 
 def _checksum_of(entry: stores.Entry | None) -> int:
-    """Returns what an entry adds to the checksum."""
+    """Returns an entry's share of the checksum; 0 for a removed key."""
     if entry is None or entry.value is None:
         return 0
     return hashing.number(f"{entry.key} {entry.revision}")
 
 
-def _ignore() -> None:
-    """Does nothing."""
+def _do_nothing() -> None:
+    """Default of ``on_reloaded``: does nothing."""
