--- a/src/kingcupscale/storage/__init__.py
+++ b/src/kingcupscale/storage/__init__.py
@@ -1,1 +1,1 @@
-"""The shared store: its interface, a mirror of its keys, and leases."""
+"""The shared key-value store: interface, local mirror, leases and locks."""
--- a/src/kingcupscale/storage/changelog.py
+++ b/src/kingcupscale/storage/changelog.py
@@ -1,4 +1,4 @@
-"""The latest changes of a mirror, for other nodes to follow it."""
+"""Log of the latest changes of a mirror, read by nodes that follow it."""
 
 import collections
 import uuid
@@ -7,20 +7,20 @@
 
 from kingcupscale.storage import store as stores
 
-# Changes kept, and the bytes of their values; a node that is further behind
-# reads from the store.
+# Limits of the log: number of changes, and total size of their values. A node
+# that is further behind reads from the store.
 MAX_CHANGES = 3000
 MAX_BYTES = 4_000_000
 
 
 @attrs.frozen
 class Position:
-    """How far a follower has read.
+    """A follower's position in a change log.
 
     Attributes:
-        log: Identity of the log; empty for none yet.
-        number: Number of the last change read from it.
-        revision: Store revision up to which the follower knows everything.
+        log: Id of the log; empty if none was read yet.
+        number: Number of the last change that was read from it.
+        revision: Store revision up to which the follower has all changes.
     """
 
     log: str
@@ -34,10 +34,11 @@
 
     Attributes:
         entries: The changes, in order.
-        position: Where to go on.
-        checksum: Of all keys and revisions of the other node.
-        age_s: Seconds from when the mirror was known to be current until the
-            follower asked; below 0 if it was current later than that.
+        position: Position after them.
+        age_s: Seconds between the time at which the followed mirror was known
+            to be current and the arrival of the request; negative if the
+            mirror was current later than that.
+        checksum: Checksum of all keys and revisions of the followed mirror.
     """
 
     entries: list[stores.Entry]
@@ -47,11 +48,19 @@
 
 
 class ChangeLog:
-    """Numbers the changes of a mirror in the order in which it saw them.
+    """Numbered changes of a mirror, in the order in which it applied them.
 
-    A mirror takes over its own writes before it has seen all earlier ones, so
-    a follower is told both what is new to it and up to which revision nothing
-    is missing.
+    A mirror applies its node's own writes before it has received all earlier
+    changes, so numbers and revisions may be in different order. A follower
+    therefore tracks both the number of the last change that it read and the
+    revision up to which it has all changes.
+
+    Attributes:
+        id: Id of the log; a new one after each restart.
+        changes: The latest changes with their numbers.
+        number: Number of the last change.
+        complete_from: Revision after which the log contains all changes.
+        size: Total size of the values, in bytes.
     """
 
     def __init__(self) -> None:
@@ -64,14 +73,14 @@
         self.size = 0
 
     def restart(self, revision: int) -> None:
-        """Begins anew after everything was read at a revision."""
+        """Empties the log after all keys were read as of a revision."""
         self.id = uuid.uuid4().hex
         self.changes.clear()
         self.size = 0
         self.complete_from = revision
 
     def add(self, entry: stores.Entry) -> None:
-        """Adds a change."""
+        """Adds a change; drops the oldest ones beyond the limits."""
         self.number += 1
         self.changes.append((self.number, entry))
         self.size += len(entry.value or b"")
@@ -81,7 +90,7 @@
             self.complete_from = max(self.complete_from, dropped.revision)
 
     def since(self, position: Position) -> list[stores.Entry] | None:
-        """Returns the changes past a position, or None if some are lost."""
+        """Returns the changes after a position, or None if any was dropped."""
         if position.log == self.id:
             if self.changes and position.number < self.changes[0][0] - 1:
                 return None
--- a/src/kingcupscale/storage/decoding.py
+++ b/src/kingcupscale/storage/decoding.py
@@ -1,4 +1,8 @@
-"""Reading values of the store that may have been written by anybody."""
+"""Decoding of values in the store, which may be invalid.
+
+Other software writes to the store as well, so an invalid value is logged and
+ignored.
+"""
 
 from collections.abc import Callable
 from typing import TypeVar
@@ -12,11 +16,12 @@
 
 
 def decode_entry(entry: stores.Entry, decode: Callable[[bytes], T]) -> T | None:
-    """Returns what a value says; None, with a log line, if it makes no sense.
+    """Returns the decoded value of an entry; logs and returns None if invalid.
 
     Args:
         entry: A present entry.
-        decode: Reads the value; raises ``ValueError`` or the error of cattrs.
+        decode: Decodes the value; raises ``ValueError`` or
+            ``cattrs.BaseValidationError`` if it is invalid.
     """
     try:
         return decode(entry.value or b"")
--- a/src/kingcupscale/storage/fallback.py
+++ b/src/kingcupscale/storage/fallback.py
@@ -1,4 +1,4 @@
-"""Writes that go through another node when the store turns this one away."""
+"""Commits through another node when this node cannot reach the store."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -6,22 +6,23 @@
 from kingcupscale import events
 from kingcupscale.storage import store as stores
 
-# Commits a transaction through another node; None if there is none to ask.
-# Raises ``StoreError`` as the store does.
+# Commits a transaction through another node. Returns the result of the commit
+# in a tuple, or None if there is no other node. Raises ``StoreError`` as the
+# store does.
 CommitThroughPeer = Callable[
     [stores.Transaction], Awaitable[tuple[int | None] | None]
 ]
 
 
 class FallbackStore:
-    """A store whose commits take a detour where the straight way fails.
+    """A store whose commits are retried through another node on failure.
 
-    Only for transactions that hold when they are repeated: each has a
-    condition that its own first execution ends.
+    Only for transactions that are safe to repeat: each needs a condition that
+    no longer holds once the transaction has been executed.
 
     Args:
-        store: The straight way.
-        commit_through_peer: The detour.
+        store: The store, reached directly.
+        commit_through_peer: Commits through another node.
     """
 
     def __init__(
@@ -31,14 +32,14 @@
         self.commit_through_peer = commit_through_peer
 
     async def scan(self, prefix: str, after: str = "") -> stores.Page:
-        """Returns a page of the entries under a prefix, past a key."""
+        """Returns a page of the entries under a prefix, after a key."""
         return await self.store.scan(prefix, after)
 
     async def commit(self, transaction: stores.Transaction) -> int | None:
         """Returns the new revision, or None if a condition did not hold.
 
         Raises:
-            StoreError: If neither way brought an answer.
+            StoreError: If neither the store nor another node responded.
         """
         try:
             return await self.store.commit(transaction)
--- a/src/kingcupscale/storage/locks.py
+++ b/src/kingcupscale/storage/locks.py
@@ -1,4 +1,11 @@
-"""Duties that one node holds at a time, fenced by the store."""
+"""Leases in the shared store, and locks on duties that rest on them.
+
+A duty is work that one node does at a time, such as leading a service. A
+``DutyLock`` is a distributed lock on a duty: a key in the store that is bound
+to the lease of its holder (``LeaseSession``). Calls that only the holder may
+send carry a fencing token. ``NodeRegistration`` keeps a node's own entry in the
+store under another lease.
+"""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -14,27 +21,28 @@
 NODES_PREFIX = "kingcupscale/nodes/"
 DUTIES_PREFIX = "kingcupscale/duties/"
 
-# A renewal may fail twice before the lease lapses.
+# With this interval, two renewals may fail before the lease expires.
 RENEWALS_PER_TTL = 4
-# Share of a lease's time at its end in which nothing is sent any more, for
-# clocks that drift and calls that are under way.
+# Share of the lease time, at its end, in which the lease no longer counts as
+# held. It covers clock drift and calls that are in flight.
 SAFETY_SHARE = 0.25
-# A candidate leaves a free duty this long to each one that is preferred.
+# A candidate waits this long per candidate ranked before it, before it acquires
+# a free duty.
 TURN_S = 0.3
 
 
 class DutyLostError(Exception):
-    """A call that may not leave, as its sender's duty is not sure any more."""
+    """A call was not sent, as its sender may no longer hold the duty."""
 
 
 @attrs.frozen
 class Holder:
-    """Who sends a call that only the holder of a duty may send.
+    """Identity and permission of a sender that must hold a duty.
 
     Attributes:
         node: The node's name.
-        fencing_token: Its fencing number.
-        check: Raises ``DutyLostError`` if the call must not leave any more.
+        fencing_token: Fencing token of the duty.
+        check: Raises ``DutyLostError`` if the call must not be sent.
     """
 
     node: str
@@ -43,21 +51,24 @@
 
 
 class LeaseSession:
-    """A node's lease, which entries in the store are bound to.
+    """A node's lease, to which entries in the store are bound.
 
-    The lease's end counts from before its renewal was sent, on a clock that
-    goes on while the VM is suspended, so the node is always first to think it
-    over. A lease that nothing needs is neither granted nor renewed.
+    The expiry time is counted from before a renewal is sent, on a clock that
+    keeps running while the VM is suspended, so the node always considers the
+    lease expired before the store does. A lease without users is neither
+    granted nor renewed.
 
     Args:
         store: The shared store.
-        clock: Tells the time.
+        clock: Source of time.
         node: The node's name.
-        ttl_s: Seconds that the lease lasts.
+        ttl_s: Time to live of the lease, in seconds.
 
     Attributes:
-        lease: The lease; ``NO_LEASE`` for none.
-        users: What needs the lease to be kept.
+        lease: Number of the lease; ``NO_LEASE`` for none.
+        ends_at: Monotonic time at which the lease expires.
+        is_closed: Whether no lease may be granted any more.
+        users: Objects that need the lease.
     """
 
     def __init__(
@@ -75,21 +86,21 @@
         self.ends_at = 0.0
         self.is_closed = False
         self.users: set[object] = set()
-        self.keeping = trio.Lock()
+        self.renewal_lock = trio.Lock()
 
     def is_held(self) -> bool:
-        """Tells whether the lease surely holds right now."""
+        """Returns whether the lease is certain to be valid now."""
         if self.lease == stores.NO_LEASE:
             return False
         safety_s = self.ttl_s * SAFETY_SHARE
         return self.clock.monotonic() < self.ends_at - safety_s
 
     async def run(self) -> None:
-        """Keeps a lease while it is needed, until closed or cancelled."""
+        """Renews the lease while it has users, until closed or cancelled."""
         while not self.is_closed:
             try:
                 if self.users:
-                    await self._keep()
+                    await self._renew_or_replace()
             except stores.StoreError as e:
                 events.log(
                     events.Event.LEASE_UNRENEWED,
@@ -100,21 +111,21 @@
             await self.clock.rest(self.ttl_s / RENEWALS_PER_TTL)
 
     async def open(self) -> None:
-        """Has the lease held, if the store allows it.
+        """Acquires the lease if it is not held, unless the session is closed.
 
         Raises:
             StoreError: If the store cannot be reached.
         """
         if not self.is_held() and not self.is_closed:
-            await self._keep()
+            await self._renew_or_replace()
 
-    async def _keep(self) -> None:
-        """Renews the lease; one that has ended is followed by another."""
-        async with self.keeping:
+    async def _renew_or_replace(self) -> None:
+        """Renews the lease; requests a new one if it has expired."""
+        async with self.renewal_lock:
             try:
                 await self._renew_or_grant()
             except stores.LeaseEndedError:
-                self._end("the store has ended it")
+                self._end("lease expired in the store")
                 await self._grant()
 
     async def _renew_or_grant(self) -> None:
@@ -136,14 +147,18 @@
         if not await self._prepare(lease):
             return
         if self.is_closed:
-            await self._give_back(lease)
+            await self._revoke(lease)
             return
         self.lease = lease
         self.ends_at = sent_at + self.ttl_s
         events.log(events.Event.SESSION_OPENED, node=self.node, lease=lease)
 
     async def _prepare(self, lease: int) -> bool:
-        """Does what a new lease is for; whether it is still there."""
+        """Prepares the use of a new lease, for subclasses.
+
+        Returns:
+            Whether the lease is still valid.
+        """
         return True
 
     def _end(self, reason: str) -> None:
@@ -157,15 +172,18 @@
         self.ends_at = 0.0
 
     async def close(self) -> None:
-        """Ends the lease for good, so that successors need not wait for it."""
+        """Revokes the lease for good.
+
+        Successors need not wait until it expires.
+        """
         self.is_closed = True
         lease = self.lease
         if lease == stores.NO_LEASE:
             return
-        self._end("the node is stopping")
-        await self._give_back(lease)
+        self._end("node is stopping")
+        await self._revoke(lease)
 
-    async def _give_back(self, lease: int) -> None:
+    async def _revoke(self, lease: int) -> None:
         try:
             await self.store.revoke(lease)
         except (stores.StoreError, stores.LeaseEndedError) as e:
@@ -173,14 +191,18 @@
 
 
 class NodeRegistration(LeaseSession):
-    """A session that keeps the node's own entry in the store.
+    """A lease that keeps the node's own entry in the store.
 
     Args:
         store: The shared store.
-        clock: Tells the time.
+        clock: Source of time.
         node: The node's name.
-        ttl_s: Seconds that the lease lasts.
-        announcement: Value of the node's own entry.
+        ttl_s: Time to live of the lease, in seconds.
+        value: Value of the node's own entry.
+
+    Attributes:
+        is_registered: Whether the entry was written and, as far as known, was
+            not removed.
     """
 
     def __init__(
@@ -189,50 +211,56 @@
         clock: clocks.Clock,
         node: str,
         ttl_s: float,
-        announcement: bytes,
+        value: bytes,
     ) -> None:
         super().__init__(store, clock, node, ttl_s)
-        self.announcement = announcement
-        self.is_announced = False
+        self.value = value
+        self.is_registered = False
         self.users.add(self)
 
     def note_removed(self) -> None:
-        """Notes that the node's entry is gone: it is written once more.
+        """Has the node's entry written again, since it was removed.
 
-        An earlier entry may be written late, under a lease that ends then.
+        A delayed write of an earlier entry may replace the present one and be
+        removed with its own, expired lease.
         """
-        self.is_announced = False
+        self.is_registered = False
 
     async def _renew(self, lease: int) -> None:
         await super()._renew(lease)
-        if not self.is_announced:
-            await self._announce(lease)
+        if not self.is_registered:
+            await self._register(lease)
 
     async def _prepare(self, lease: int) -> bool:
         try:
-            await self._announce(lease)
+            await self._register(lease)
         except stores.LeaseEndedError:
-            self._end("ended before the node was entered")
+            self._end("lease expired before the node was registered")
             return False
         return True
 
-    async def _announce(self, lease: int) -> None:
-        put = stores.Put(NODES_PREFIX + self.node, self.announcement, lease)
+    async def _register(self, lease: int) -> None:
+        put = stores.Put(NODES_PREFIX + self.node, self.value, lease)
         await self.store.commit(stores.Transaction(puts=[put]))
-        self.is_announced = True
+        self.is_registered = True
 
 
 class DutyLock:
-    """One duty as seen by one node.
+    """A node's lock on a duty.
 
-    The revision at which the duty's key was created only grows and belongs to
-    one holder, so it serves as the fencing number.
+    The fencing token is the revision at which the duty's key was created: it
+    only increases, and only one holder ever has it.
 
     Args:
-        name: Of the duty.
+        name: Name of the duty.
         session: The node's lease.
-        mirror: The mirror in which the key's state is seen.
-        clock: Tells the time.
+        mirror: The mirror from which the state of the key is read.
+        clock: Source of time.
+
+    Attributes:
+        fencing_token: Fencing token of the duty; 0 if it was not acquired.
+        released_token: Fencing token under which the duty was last released.
+        lease: The lease under which the duty was acquired.
     """
 
     def __init__(
@@ -252,11 +280,11 @@
 
     @property
     def key(self) -> str:
-        """The duty's key."""
+        """The duty's key in the store."""
         return DUTIES_PREFIX + self.name
 
     def is_held(self) -> bool:
-        """Tells whether this node surely holds the duty right now."""
+        """Returns whether this node is certain to hold the duty now."""
         return (
             self.fencing_token > 0
             and self.lease == self.session.lease
@@ -264,23 +292,23 @@
         )
 
     def holder(self) -> Holder:
-        """Returns what a call of the holder bears."""
+        """Returns what a call that requires the duty carries."""
         return Holder(self.session.node, self.fencing_token, self.check)
 
     def check(self) -> None:
-        """Lets a call leave that only the holder may send.
+        """Checks that this node may send a call that requires the duty.
 
-        To be called when the call's connection is open: opening one may take
-        longer than what was left of the lease.
+        To be called once the call's connection is open, since connecting may
+        take longer than the rest of the lease.
 
         Raises:
-            DutyLostError: If this node does not surely hold the duty.
+            DutyLostError: If this node is not certain to hold the duty.
         """
         if not self.is_held():
             raise DutyLostError(self.name)
 
     async def try_acquire(self) -> None:
-        """Takes the duty if nobody holds it.
+        """Acquires the duty if no node holds it.
 
         Raises:
             StoreError: If the store cannot be reached.
@@ -304,12 +332,12 @@
             self._set_held(known.created)
 
     async def release(self) -> None:
-        """Leaves the duty to another node, while the lease goes on.
+        """Releases the duty to another node, while the lease stays valid.
 
-        It is never held again under its present fencing number.
+        It is never held again under its present fencing token.
 
         Raises:
-            StoreError: If the key may be left; ``try_acquire`` goes on with it.
+            StoreError: If the key may remain; ``try_acquire`` then removes it.
         """
         if not self.is_held():
             return
@@ -320,7 +348,7 @@
             await self._remove(known)
 
     async def _remove(self, known: stores.Entry) -> None:
-        """Removes the key of a duty that was given up, if it is still that."""
+        """Removes the key of a released duty, unless it has changed."""
         condition = stores.Condition(self.key, known.revision)
         revision = await self.session.store.commit(
             stores.Transaction([condition], removals=[self.key])
@@ -347,14 +375,14 @@
                 events.Event.SESSION_ENDED,
                 node=self.session.node,
                 lease=lease,
-                reason="ended before a duty was taken",
+                reason="lease expired before a duty was acquired",
             )
             return None
         except stores.StoreError as e:
             if not e.may_have_run:
                 raise
-        # The write's own answer may be lost, and it may have met another
-        # writer's key: what stands there decides.
+        # The response to the write may be lost, and another node may have
+        # created the key first. The key's present value decides.
         entry = await self.session.store.get(self.key)
         if entry is not None:
             self.mirror.apply(entry)
@@ -388,13 +416,13 @@
     rank: Callable[[], int],
     pause_s: float,
 ) -> None:
-    """Contends for a duty, and works at it at a steady pace while held.
+    """Tries to acquire a duty, and does its work in rounds while it is held.
 
     Args:
-        duty_lock: The duty.
-        work: One round of it; raises nothing but ``StoreError``.
-        rank: This node's place among the candidates, 0 for the preferred one;
-            the others wait, so that they do not all write at once.
+        duty_lock: Lock on the duty.
+        work: Does one round of work; raises only ``StoreError``.
+        rank: Returns this node's rank among the candidates, 0 for the preferred
+            one. The others wait, so that they do not all write at once.
         pause_s: Seconds between two rounds.
     """
     while True:
@@ -415,9 +443,10 @@
 
 
 async def _wait_for_turn(duty_lock: DutyLock, rank: Callable[[], int]) -> None:
-    """Gives preferred candidates time to take a free duty first.
+    """Waits so that preferred candidates can acquire a free duty first.
 
-    Whoever takes another duty meanwhile is ranked anew.
+    The rank is read again at each change, as a candidate that acquires another
+    duty meanwhile gets a lower one.
     """
     began_at = duty_lock.clock.monotonic()
     while duty_lock.key not in duty_lock.mirror.entries:
--- a/src/kingcupscale/storage/store.py
+++ b/src/kingcupscale/storage/store.py
@@ -1,4 +1,4 @@
-"""The shared store as the product sees it: transactions, leases, watches."""
+"""Interface of the shared store: transactions, leases and watches."""
 
 import collections
 from typing import Protocol
@@ -10,11 +10,11 @@
 
 
 class StoreError(Exception):
-    """A call to the store that brought no usable answer.
+    """A call to the store failed or returned an unusable response.
 
     Args:
-        reason: What went wrong.
-        may_have_run: Whether the call took effect or may do so later.
+        reason: Description of the failure.
+        may_have_run: Whether the call took effect or may still take effect.
     """
 
     def __init__(self, reason: str, may_have_run: bool) -> None:
@@ -24,11 +24,11 @@
 
 
 class HistoryLostError(Exception):
-    """A watch that starts before the history that the store still has."""
+    """A watch starts at a revision that the store has already compacted."""
 
 
 class LeaseEndedError(Exception):
-    """A lease that the store does not know or no longer knows."""
+    """A lease has expired, was revoked or never existed."""
 
 
 @attrs.frozen
@@ -36,10 +36,10 @@
     """A key with its value.
 
     Attributes:
-        key: Its name.
-        value: Its bytes; None if the key was removed.
-        revision: Store-wide number of its last change.
-        created: Store-wide number of the change that created it.
+        key: The key.
+        value: The value; None if the key was removed.
+        revision: Store-wide revision of the last change of the key.
+        created: Store-wide revision at which the key was created.
     """
 
     key: str
@@ -50,12 +50,12 @@
 
 @attrs.frozen
 class Page:
-    """Entries, with the revision of the store that they are as of.
+    """A page of entries.
 
     Attributes:
-        entries: In key order, or in order of change from a watch.
-        revision: The store's revision.
-        has_more: Whether further entries follow the last key.
+        entries: Entries in key order; those of a watch in order of change.
+        revision: Store revision at which the entries were read.
+        has_more: Whether more entries follow the last key.
     """
 
     entries: list[Entry]
@@ -65,7 +65,7 @@
 
 @attrs.frozen
 class Condition:
-    """A key's revision that must hold; ``ABSENT`` if it must not exist."""
+    """Requires that a key has a revision; ``ABSENT`` if it must not exist."""
 
     key: str
     revision: int
@@ -82,7 +82,10 @@
 
 @attrs.frozen
 class Transaction:
-    """Writes and removals that take effect together, or not at all."""
+    """Writes and removals that are executed atomically.
+
+    Nothing is executed unless all conditions hold.
+    """
 
     conditions: list[Condition] = attrs.field(factory=list)
     puts: list[Put] = attrs.field(factory=list)
@@ -90,10 +93,10 @@
 
 
 class Store(Protocol):
-    """What the product asks of the store. All calls raise ``StoreError``.
+    """Client of the shared store. All calls may raise ``StoreError``.
 
     Attributes:
-        calls: Calls that were made, by kind.
+        calls: Number of calls by kind.
     """
 
     calls: collections.Counter[str]
@@ -103,14 +106,19 @@
         ...
 
     async def scan(self, prefix: str, after: str = "") -> Page:
-        """Returns a page of the entries under a prefix, past a key."""
+        """Returns a page of the entries under a prefix, after a key."""
         ...
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> Page:
-        """Returns changes past a revision, waiting for the first.
+        """Returns changes after a revision, waiting for the first one.
+
+        Args:
+            prefix: Prefix of the keys.
+            after: The revision.
+            wait_s: Maximum wait in seconds; the page is empty after that.
 
         Raises:
-            HistoryLostError: If those changes are no longer known.
+            HistoryLostError: If the store has compacted these changes.
         """
         ...
 
@@ -118,7 +126,7 @@
         """Returns the new revision, or None if a condition did not hold.
 
         Raises:
-            LeaseEndedError: If a lease of the transaction has ended.
+            LeaseEndedError: If a lease of the transaction has expired.
         """
         ...
 
@@ -130,10 +138,10 @@
         """Renews a lease.
 
         Raises:
-            LeaseEndedError: If it has ended.
+            LeaseEndedError: If it has expired.
         """
         ...
 
     async def revoke(self, lease: int) -> None:
-        """Ends a lease and removes its keys."""
+        """Revokes a lease and removes its keys."""
         ...
--- a/src/kingcupscale/storage/view.py
+++ b/src/kingcupscale/storage/view.py
@@ -1,4 +1,8 @@
-"""Whether what a node knows of the store is new enough to act on."""
+"""Whether a node's view of the store is recent enough to act on.
+
+A view is what a node knows of the store through its mirror. A node with an old
+view may have missed a change that other nodes already act on.
+"""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -6,41 +10,42 @@
 from kingcupscale import clock as clocks
 from kingcupscale import events
 
-# Share of the bound at its end in which nothing is sent any more, for calls
-# that are under way.
+# Share of the time limit, at its end, in which the view already counts as old.
+# It covers calls that are in flight.
 SAFETY_SHARE = 0.25
 
 
 class MirrorAge(Protocol):
-    """What tells how old a node's knowledge of the store is.
+    """The part of a mirror that tells how old it is.
 
     Attributes:
-        current_at: Monotonic time at which the last good answer was asked for;
-            negative before the first.
-        is_unreachable: Whether neither the store nor another node answers.
+        current_at: Monotonic time at which the mirror was last known to be
+            current; negative before the first successful read.
+        is_unreachable: Whether neither the store nor another node responds.
     """
 
     current_at: float
     is_unreachable: bool
 
     def age_s(self) -> float:
-        """Returns seconds since the mirror was known to be current."""
+        """Returns the seconds since the mirror was known to be current."""
         ...
 
 
 class View:
-    """Tells whether a node would have heard of a change by now.
+    """Determines whether a node's view of the store is current.
 
     Args:
-        mirror: What the node knows of the store.
-        clock: Tells the time.
+        mirror: The node's mirror of the store.
+        clock: Source of time.
         node: The node's name, for the log.
-        bound_s: Seconds within which a change has to be acted on.
+        bound_s: Seconds within which a change must be in effect.
         peer_answered_at: Returns the monotonic time at which another node last
-            answered; None if no other node is known.
+            responded; None if no other node is known.
 
     Attributes:
         max_age_s: Age in seconds up to which the view is current.
+        was_current: Result of the last check.
     """
 
     def __init__(
@@ -64,20 +69,25 @@
         return self.mirror.age_s()
 
     def is_current(self) -> bool:
-        """Tells whether a change that others act on is known here.
+        """Returns whether this node has all changes that others may act on.
 
-        While the store is silent for everybody, there are no changes.
+        An old view also counts as current while no node reaches the store, as
+        nothing can change then.
         """
         is_current = (
             self.mirror.age_s() <= self.max_age_s
             or self._is_store_unreachable_for_all()
         )
         if is_current != self.was_current:
-            self._note(is_current)
+            self._log_transition(is_current)
         return is_current
 
     def _is_store_unreachable_for_all(self) -> bool:
-        """Tells whether another node has just known nothing newer either."""
+        """Returns whether the other nodes do not reach the store either.
+
+        True if another node responded recently, but long after this node's view
+        was current, and had nothing newer; or if there is no other node.
+        """
         if not self.mirror.is_unreachable:
             return False
         peer_answered_at = self.peer_answered_at()
@@ -89,7 +99,7 @@
             and self.clock.monotonic() - peer_answered_at <= self.bound_s
         )
 
-    def _note(self, is_current: bool) -> None:
+    def _log_transition(self, is_current: bool) -> None:
         self.was_current = is_current
         events.log(
             events.Event.VIEW_CURRENT if is_current else events.Event.VIEW_OLD,
