--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -64,7 +64,7 @@
     Break(
         "a mirror is no newer than it says",
         "peering/relay.py",
-        "asked_at - self.mirror.current_at",
+        "requested_at - self.mirror.current_at",
         "0.0",
         "tests.storage.test_relay",
     ),
--- a/src/kingcupscale/peering/__init__.py
+++ b/src/kingcupscale/peering/__init__.py
@@ -1,1 +1,1 @@
-"""The inner protocol: how the nodes talk and who is among them."""
+"""The protocol between nodes, and the membership of the cluster."""
--- a/src/kingcupscale/peering/calls.py
+++ b/src/kingcupscale/peering/calls.py
@@ -1,4 +1,4 @@
-"""Calls from one node to another: typed bodies over HTTP."""
+"""HTTP calls between nodes, with ``attrs`` values as JSON bodies."""
 
 from typing import TypeVar
 
@@ -11,26 +11,26 @@
 
 T = TypeVar("T")
 
-# Nodes are at most one region apart; a connection that takes longer than this
-# leads to a node that is gone.
+# Nodes are at most one region apart; if connecting takes longer than this, the
+# other node is down.
 CONNECT_S = 0.25
 
 _converter = codec.make_wire_converter()
 
 
 class PeerError(Exception):
-    """A call that another node did not answer as it should.
+    """A call to another node failed.
 
     Args:
-        reason: What went wrong.
-        request_left: Whether the call may have reached it.
-        status: Status of the answer; 0 for none.
+        reason: Description of the failure.
+        may_have_been_sent: Whether any part of the request may have been sent.
+        status: HTTP status of the response; 0 if there was none.
     """
 
-    def __init__(self, reason: str, request_left: bool, status: int = 0):
+    def __init__(self, reason: str, may_have_been_sent: bool, status: int = 0):
         super().__init__(reason)
         self.reason = reason
-        self.request_left = request_left
+        self.may_have_been_sent = may_have_been_sent
         self.status = status
 
 
@@ -41,17 +41,17 @@
     value: object,
     timeout_s: float,
 ) -> bytes:
-    """Sends a value to another node and returns the body of its answer.
+    """Sends a value to another node and returns the body of its response.
 
     Args:
         http_client: Carries the call.
         address: ``host:port`` of the node.
-        path: What is called.
-        value: An ``attrs`` value.
-        timeout_s: Seconds for the whole call.
+        path: Path of the request.
+        value: Value to send, an ``attrs`` instance.
+        timeout_s: Time limit of the whole call, in seconds.
 
     Raises:
-        PeerError: If the answer is no 200, or there is none.
+        PeerError: If there is no response, or its status is not 200.
     """
     request = message.Request(
         "POST", path, "", {"host": address}, _converter.dumps(value)
@@ -65,33 +65,35 @@
         raise PeerError(e.reason, e.may_have_been_sent) from e
     if response.status != 200:
         raise PeerError(
-            f"status {response.status} of {address}", True, response.status
+            f"expected status 200, got {response.status} from {address}",
+            True,
+            response.status,
         )
     return response.body
 
 
 def encode(value: object) -> bytes:
-    """Returns a value as it travels."""
+    """Returns a value encoded as JSON."""
     return _converter.dumps(value)
 
 
 def decode_answer(body: bytes, kind: type[T]) -> T:
-    """Returns a value that another node answered with.
+    """Returns the decoded body of a response of another node.
 
     Raises:
-        PeerError: If it makes no sense.
+        PeerError: If the body is invalid.
     """
     try:
         return _converter.loads(body, kind)
     except (ValueError, cattrs.BaseValidationError) as e:
-        raise PeerError(f"unreadable answer: {e!r}"[:200], True) from e
+        raise PeerError(f"invalid response: {e!r}"[:200], True) from e
 
 
 def decode(body: bytes, kind: type[T]) -> T:
-    """Returns a value that another node sent.
+    """Returns the decoded body of a request of another node.
 
     Raises:
-        ServiceError: ``BODY_INVALID``.
+        ServiceError: ``BODY_INVALID`` if the body is invalid.
     """
     try:
         return _converter.loads(body, kind)
--- a/src/kingcupscale/peering/commits.py
+++ b/src/kingcupscale/peering/commits.py
@@ -1,4 +1,7 @@
-"""Writing to the store through another node, for one that it turns away."""
+"""Commits to the store through another node.
+
+Used by a node that cannot reach the store itself.
+"""
 
 from typing import Protocol
 
@@ -13,22 +16,22 @@
 PATH = "/commit"
 TIMEOUT_S = 1.5
 STATUS_NOT_COMMITTED = 503
-STATUS_UNKNOWN = 504
+STATUS_OUTCOME_UNKNOWN = 504
 
 
 @attrs.frozen
 class Committed:
-    """Answer to a transaction.
+    """Response to a transaction.
 
     Attributes:
-        revision: The store's new revision; None if a condition did not hold.
+        revision: New revision of the store; None if a condition did not hold.
     """
 
     revision: int | None
 
 
 class CommitClient(Protocol):
-    """Has other nodes write to the store."""
+    """Commits transactions through other nodes."""
 
     async def commit(
         self, address: str, transaction: stores.Transaction
@@ -36,7 +39,7 @@
         """Returns the new revision, or None if a condition did not hold.
 
         Raises:
-            StoreError: As the store's own client does.
+            StoreError: As by ``Store.commit``.
         """
         ...
 
@@ -61,18 +64,20 @@
             )
             return calls.decode_answer(body, Committed).revision
         except calls.PeerError as e:
-            may_have_run = e.request_left and e.status != STATUS_NOT_COMMITTED
+            may_have_run = (
+                e.may_have_been_sent and e.status != STATUS_NOT_COMMITTED
+            )
             raise stores.StoreError(e.reason, may_have_run) from e
 
 
 async def handle(
     store: stores.Store, request: message.Request
 ) -> message.Response:
-    """Writes for another node.
+    """Handles a request to commit a transaction for another node.
 
     Args:
-        store: The store as this node reaches it.
-        request: The other node's request.
+        store: The shared store.
+        request: Request of the other node.
     """
     transaction = calls.decode(request.body, stores.Transaction)
     try:
@@ -81,7 +86,9 @@
         return message.Response(STATUS_NOT_COMMITTED)
     except stores.StoreError as e:
         events.log(events.Event.STORE_FAILED, reason=e.reason, for_peer=True)
-        status = STATUS_UNKNOWN if e.may_have_run else STATUS_NOT_COMMITTED
+        status = (
+            STATUS_OUTCOME_UNKNOWN if e.may_have_run else STATUS_NOT_COMMITTED
+        )
         return message.Response(status)
     return message.Response(
         200,
--- a/src/kingcupscale/peering/counts.py
+++ b/src/kingcupscale/peering/counts.py
@@ -1,7 +1,8 @@
-"""Telling the node that reports usage what this node's organisations began.
+"""Sends a node's usage counts to the node that reports usage.
 
-A write to the store for each node and window would be most of a large fleet's
-calls, and each write wakes every node that follows the store.
+Counts are sent directly, as one write to the store per node and window would be
+most of the store's load in a large fleet, and each write would wake every node
+that watches the store.
 """
 
 from typing import Protocol
@@ -17,12 +18,12 @@
 
 @attrs.frozen
 class Counts:
-    """What one node has counted.
+    """Usage counts of one node.
 
     Attributes:
-        node: The node.
-        windows: Requests by organisation, by the window's number as text;
-            each window's whole count.
+        node: Name of the node.
+        windows: By window number (as text), the number of requests by
+            organisation. Each count is the window's total so far.
     """
 
     node: str
@@ -36,7 +37,7 @@
         """Sends counts.
 
         Raises:
-            PeerError: If they were not taken.
+            PeerError: If the other node did not accept them.
         """
         ...
 
@@ -59,9 +60,9 @@
 
 
 def decode(body: bytes) -> Counts:
-    """Returns counts as they came.
+    """Returns the counts in a request body.
 
     Raises:
-        ServiceError: ``BODY_INVALID``.
+        ServiceError: ``BODY_INVALID`` if the body is invalid.
     """
     return calls.decode(body, Counts)
--- a/src/kingcupscale/peering/handover.py
+++ b/src/kingcupscale/peering/handover.py
@@ -1,8 +1,9 @@
-"""Texts on their way, copied to the node that would run them next.
+"""Replication of unfinished texts to the node that would take over.
 
-A leader sends what its samples have added to the next candidate, so that a
-takeover goes on with the texts instead of beginning them again. Nothing is
-lost for good with a copy, so nothing is stored.
+The node that runs a model's samples sends the new events of their texts to the
+next candidate, so that a takeover continues the texts instead of restarting
+them. Replicas are kept in memory only: if one is lost, its texts are merely
+generated again.
 """
 
 from typing import Protocol
@@ -17,23 +18,24 @@
 
 PATH = "/texts"
 SEND_TIMEOUT_S = 0.5
-# Says that a text has to be sent anew, from its first event on.
+# The receiver lacks the events before the new ones or has different ones; the
+# text must be sent again from its first event.
 STATUS_OUT_OF_SYNC = 409
 
 
 @attrs.frozen
 class TextUpdate:
-    """What one sample has added since it was last sent.
+    """New events of one sample's text since it was last sent.
 
     Attributes:
-        item: The item's identity.
-        events: New events, in order.
-        result: Its result, if it is finished and not listed yet.
+        item: Id of the item.
+        events: The new events, in order.
+        result: Result of the item, if it is finished and not yet listed.
+        batch_id: Batch of the result. The item may also be in another batch,
+            which requires other weight versions.
         before: Digest of the events before the new ones; empty for none. Two
-            nodes that run an item at the same time make different texts,
-            which must not be joined.
-        batch_id: The batch that the result belongs to; the item may come
-            again in another one, which wants other versions.
+            nodes that run the same item at the same time generate different
+            texts, which must not be joined.
     """
 
     item: str
@@ -43,7 +45,7 @@
     before: str = ""
 
     def continues(self, known: list[serverclient.StreamEvent]) -> bool:
-        """Tells whether the new events go on with a known text."""
+        """Returns whether the new events continue a known text."""
         if not self.events or self.events[0].number == 1:
             return True
         is_next = self.events[0].number == len(known) + 1
@@ -51,7 +53,7 @@
 
 
 def digest(text: list[serverclient.StreamEvent]) -> str:
-    """Returns what tells a text from others; empty for none."""
+    """Returns a digest of a text; empty if it has no events."""
     if not text:
         return ""
     whole = "\0".join(f"{event.version} {event.data}" for event in text)
@@ -60,15 +62,15 @@
 
 @attrs.frozen
 class ReplicationRequest:
-    """Texts of one service's samples.
+    """Updates of the texts of one service's samples.
 
     Attributes:
-        service: The service.
-        texts: The texts.
+        service: Name of the service.
+        texts: The updates.
         model: Model whose samples the sender runs.
-        sender: The node that sends it.
-        is_last: Whether the sender stops running them, so that its receiver
-            goes on with them at once.
+        sender: Name of the sending node.
+        is_last: Whether the sender stops running the samples, so that the
+            receiver continues them at once.
     """
 
     service: str
@@ -79,13 +81,13 @@
 
 
 class CopyClient(Protocol):
-    """Sends copies to other nodes."""
+    """Sends replicas of texts to other nodes."""
 
     async def send(self, address: str, request: ReplicationRequest) -> None:
-        """Sends one copy.
+        """Sends one request.
 
         Raises:
-            PeerError: If it was not taken.
+            PeerError: If the other node did not accept it.
         """
         ...
 
@@ -101,16 +103,16 @@
         self.http_client = http_client
 
     async def send(self, address: str, request: ReplicationRequest) -> None:
-        """Sends one copy."""
+        """Sends one request."""
         await calls.post(
             self.http_client, address, PATH, request, SEND_TIMEOUT_S
         )
 
 
 def decode(body: bytes) -> ReplicationRequest:
-    """Returns a copy as it came.
+    """Returns the replication request in a request body.
 
     Raises:
-        ServiceError: ``BODY_INVALID``.
+        ServiceError: ``BODY_INVALID`` if the body is invalid.
     """
     return calls.decode(body, ReplicationRequest)
--- a/src/kingcupscale/peering/loads.py
+++ b/src/kingcupscale/peering/loads.py
@@ -1,4 +1,8 @@
-"""Telling the node that runs a model's samples what its engines load."""
+"""Sends the state of weight loads on engines between nodes.
+
+The node that gives an engine orders reports a load of a weight version to the
+node that runs the samples of the model.
+"""
 
 from typing import Protocol
 
@@ -13,15 +17,16 @@
 
 @attrs.frozen
 class WeightLoadState:
-    """How the load of a weight version on an engine stands.
+    """State of the load of a weight version on an engine.
 
     Attributes:
-        server: The engine's id.
-        model: The model.
-        version: The version that the engine has, or will have after
+        server: Id of the engine.
+        model: Name of the model.
+        version: Weight version that the engine has, or will have after
             ``closed_s``.
-        closed_s: Seconds for which it takes no samples of the model.
-        loading_s: Seconds for which its other runs may have to wait.
+        closed_s: Seconds for which the engine accepts no samples of the model.
+        loading_s: Seconds for which runs of other models on the engine may be
+            delayed.
     """
 
     server: str
@@ -32,13 +37,13 @@
 
 
 class LoadClient(Protocol):
-    """Sends states to other nodes."""
+    """Sends the state of weight loads to other nodes."""
 
     async def send(self, address: str, state: WeightLoadState) -> None:
         """Sends one state.
 
         Raises:
-            PeerError: If it was not taken.
+            PeerError: If the other node did not accept it.
         """
         ...
 
@@ -59,9 +64,9 @@
 
 
 def decode(body: bytes) -> WeightLoadState:
-    """Returns a state as it came.
+    """Returns the state in a request body.
 
     Raises:
-        ServiceError: ``BODY_INVALID``.
+        ServiceError: ``BODY_INVALID`` if the body is invalid.
     """
     return calls.decode(body, WeightLoadState)
--- a/src/kingcupscale/peering/polling.py
+++ b/src/kingcupscale/peering/polling.py
@@ -1,25 +1,26 @@
-"""How often a node asks the one that it follows for changes.
+"""How often a node polls the node that it follows for changes.
 
-Answers large fleets: each answer costs the followed node some milliseconds,
-and it leads a service beside that. Engines change their entries all the time,
-so every question is answered at once, and nodes that need nothing ask more
-seldom the more of them there are.
+In a large fleet, polling loads the followed node: each response takes it some
+milliseconds, and it leads a service besides. Engines update their entries all
+the time, so that a poll never waits for a change. Idle nodes, on which no
+caller waits for a change, therefore poll less often the more nodes there are.
 """
 
-# Shortest pause of a node that nobody waits at, in seconds.
+# Shortest interval between two polls of an idle node, in seconds.
 MIN_POLL_INTERVAL_S = 0.35
-# Answers that a followed node gives such nodes, all together, in a second.
+# Polls per second that a followed node receives from all idle nodes together.
 MAX_IDLE_POLLS_PER_S = 60.0
-# A change has to be in force everywhere in time, whatever the fleet's size.
+# Longest interval, as a share of the time within which a configuration must be
+# in effect on every node, whatever the size of the fleet.
 MAX_SHARE_OF_APPLY_TIME = 0.25
 
 
 def idle_poll_interval_s(nodes: int, apply_s: float) -> float:
-    """Returns the pause between two questions of a node that needs nothing.
+    """Returns the interval between two polls of an idle node, in seconds.
 
     Args:
-        nodes: How many nodes there are.
-        apply_s: Seconds within which a configuration must be in force.
+        nodes: Number of nodes.
+        apply_s: Seconds within which a configuration must be in effect.
     """
     max_interval_s = max(MIN_POLL_INTERVAL_S, MAX_SHARE_OF_APPLY_TIME * apply_s)
     return min(
--- a/src/kingcupscale/peering/relay.py
+++ b/src/kingcupscale/peering/relay.py
@@ -1,10 +1,11 @@
-"""Following another node's mirror instead of the store.
-
-A node that leads a duty watches the store; the others follow its mirror. So
-the store's calls do not grow with the number of nodes, results reach readers
-without a pause, and a node that the store turns away still learns of changes.
-Texts are most of what changes, so a follower names the batches that it wants
-to know in full; of the others it is told the keys only.
+"""Relays changes of the store from one node's mirror to its followers.
+
+A node that holds a duty watches the store; the other nodes follow its mirror
+by long polls. The load on the store therefore does not grow with the number of
+nodes, results reach readers without a polling delay, and a node that cannot
+reach the store still receives changes. Most of the data are texts of batches,
+so a follower names the batches that it needs in full; for the others it
+receives keys without values.
 """
 
 import base64
@@ -26,41 +27,41 @@
 PATH = "/relay"
 COPY_PATH = "/relay-copy"
 PROBE_PATH = "/alive"
-# A follower waits this long for news; an answer that takes longer than this
-# and the margin means that the other node is gone.
+# A long poll ends after this time without a change. If the response takes
+# longer than this plus the margin, the other node is down.
 LONG_POLL_S = 0.5
 LONG_POLL_MARGIN_S = 0.3
-# A whole batch with its texts takes a while on a narrow link.
+# A whole batch with its texts takes some time on a link of low bandwidth.
 COPY_TIMEOUT_S = 1.0
-# A node that lives answers at once.
+# A running node responds to a probe at once.
 PROBE_TIMEOUT_S = 0.5
-STATUS_UNKNOWN = 404
+STATUS_BATCH_UNKNOWN = 404
 STATUS_TOO_FAR_BEHIND = 410
-# Encoded changes kept; all followers ask for the latest ones.
+# Size of the cache of encoded changes; all followers request the latest ones.
 MAX_CACHED_ENCODINGS = 100
-# Stands for a value that the follower does not want to know.
+# Sent in place of a value that the follower does not need.
 OMITTED_VALUE = b""
 
 
 class RelayError(Exception):
-    """A node that cannot be followed at the moment."""
+    """A node cannot be followed at present."""
 
 
 class TooFarBehindError(RelayError):
-    """A node that no longer knows the changes that a follower lacks."""
+    """The followed node no longer has the changes that the follower lacks."""
 
 
 @attrs.frozen
 class FollowRequest:
-    """What a follower asks.
+    """A follower's request for changes.
 
     Attributes:
-        log: Log that it has read from; empty for none.
+        log: Id of the change log that it has read from; empty for none.
         number: Number of the last change that it has read.
-        revision: Store revision up to which it knows everything.
-        everything: Whether it wants all batches in full.
-        models: Models whose batches it wants in full.
-        batches: Single batches that it wants in full.
+        revision: Store revision up to which it has all changes.
+        everything: Whether it needs all batches in full.
+        models: Models whose batches it needs in full.
+        batches: Ids of other batches that it needs in full.
     """
 
     log: str
@@ -71,11 +72,11 @@
     batches: list[str]
 
     def position(self) -> changelog.Position:
-        """Returns how far the follower has read."""
+        """Returns the follower's position in the change log."""
         return changelog.Position(self.log, self.number, self.revision)
 
     def interest(self) -> interests.Interest:
-        """Returns the batches that it wants."""
+        """Returns the batches that the follower needs in full."""
         return interests.Interest(
             self.everything, frozenset(self.models), frozenset(self.batches)
         )
@@ -83,18 +84,18 @@
 
 @attrs.frozen
 class CopyRequest:
-    """Asks for all that a node knows of a batch."""
+    """Requests all that a node knows of a batch."""
 
     batch: str
 
 
 @attrs.frozen
 class Probe:
-    """Asks whether a node lives."""
+    """Checks whether a node is running."""
 
 
 class RelayClient(Protocol):
-    """Asks other nodes for changes."""
+    """Reads changes from other nodes."""
 
     async def follow(
         self,
@@ -102,28 +103,28 @@
         position: changelog.Position,
         interest: interests.Interest,
     ) -> changelog.Changes:
-        """Returns changes past a position, waiting for the first wanted one.
+        """Returns changes after a position; waits for one of interest.
 
         Raises:
-            RelayError: If the node does not answer as it should.
+            RelayError: If the node cannot be followed.
         """
         ...
 
     async def fetch_batch(
         self, address: str, batch_id: str
     ) -> records.RecordSnapshot | None:
-        """Returns a batch as another node knows it; None if it does not.
+        """Returns another node's state of a batch; None if it has none.
 
         Raises:
-            PeerError: If the node does not answer as it should.
+            PeerError: If the call fails.
         """
         ...
 
     async def probe(self, address: str) -> None:
-        """Asks a node whether it lives.
+        """Checks whether a node is running.
 
         Raises:
-            PeerError: If it does not answer.
+            PeerError: If it does not respond.
         """
         ...
 
@@ -144,7 +145,7 @@
         position: changelog.Position,
         interest: interests.Interest,
     ) -> changelog.Changes:
-        """Returns changes past a position, waiting for the first wanted one."""
+        """Returns changes after a position; waits for one of interest."""
         follow_request = FollowRequest(
             position.log,
             position.number,
@@ -160,17 +161,19 @@
             )
         except calls.PeerError as e:
             if e.status == STATUS_TOO_FAR_BEHIND:
-                raise TooFarBehindError(f"too far behind {address}") from e
+                raise TooFarBehindError(
+                    f"{address} no longer has the needed changes"
+                ) from e
             raise RelayError(e.reason) from e
         try:
             return _decode(body)
         except (ValueError, KeyError, TypeError) as e:
-            raise RelayError(f"unreadable answer: {e!r}") from e
+            raise RelayError(f"invalid response: {e!r}") from e
 
     async def fetch_batch(
         self, address: str, batch_id: str
     ) -> records.RecordSnapshot | None:
-        """Returns a batch as another node knows it; None if it does not."""
+        """Returns another node's state of a batch; None if it has none."""
         try:
             body = await calls.post(
                 self.http_client,
@@ -180,44 +183,44 @@
                 COPY_TIMEOUT_S,
             )
         except calls.PeerError as e:
-            if e.status == STATUS_UNKNOWN:
+            if e.status == STATUS_BATCH_UNKNOWN:
                 return None
             raise
         return calls.decode_answer(body, records.RecordSnapshot)
 
     async def probe(self, address: str) -> None:
-        """Asks a node whether it lives."""
+        """Checks whether a node is running."""
         await calls.post(
             self.http_client, address, PROBE_PATH, Probe(), PROBE_TIMEOUT_S
         )
 
 
 class BatchIndex(Protocol):
-    """What a node knows of the batches that followers ask for."""
+    """A node's batches, as needed to answer followers."""
 
     records: dict[str, records.Record]
 
     def model_of(self, batch_id: str) -> str | None:
-        """Returns the model that a batch trains, if that is known."""
+        """Returns the model that a batch trains, or None if unknown."""
         ...
 
     async def load(
         self, batch_id: str, is_read: bool, asks_nodes: bool
     ) -> records.Record | None:
-        """Has a batch known in full; None if it does not exist.
+        """Returns a batch loaded in full, or None if it does not exist.
 
         Raises:
-            ServiceError: If that cannot be known.
+            ServiceError: If neither can be determined.
         """
         ...
 
 
 class RelayHandler:
-    """Answers followers from this node's mirror.
+    """Serves followers from this node's mirror.
 
     Args:
-        mirror: The mirror.
-        batch_cache: The batches.
+        mirror: The mirror of the store.
+        batch_cache: Cache of the batches.
     """
 
     def __init__(
@@ -228,7 +231,7 @@
         self.encoding_cache: dict[tuple[str, int], bytes] = {}
 
     async def __call__(self, request: message.Request) -> message.Response:
-        """Answers a follower."""
+        """Handles a request of another node."""
         if request.path == PROBE_PATH:
             return message.Response(200)
         if request.path == COPY_PATH:
@@ -242,29 +245,32 @@
         )
         if self.mirror.current_at < 0:
             return message.Response(STATUS_TOO_FAR_BEHIND)
-        asked_at = self.mirror.clock.monotonic()
+        requested_at = self.mirror.clock.monotonic()
         with trio.move_on_after(LONG_POLL_S):
             await self._wait_for_wanted_change(position, interest)
-        # Read after the wait: a change may have come as it ended, and the
-        # position that is told must not pass it.
+        # Read the log after the wait: a change may have been added as the wait
+        # ended, and the position in the response must not skip it.
         found = self.mirror.log.since(position)
         if found is None or any(self._lacks_value(e, interest) for e in found):
             return message.Response(STATUS_TOO_FAR_BEHIND)
         return message.Response(
             200,
             {"content-type": "application/json"},
-            self._encode(found, interest, asked_at - self.mirror.current_at),
+            self._encode(
+                found, interest, requested_at - self.mirror.current_at
+            ),
         )
 
     async def _serve_batch(self, copy_request: CopyRequest) -> message.Response:
         record = self.batch_cache.records.get(copy_request.batch)
         if record is None and not self.mirror.is_following:
-            # The others ask here, so that one node reads it for all of them.
+            # Other nodes request batches here, so that one node reads each from
+            # the store for all of them.
             record = await self.batch_cache.load(
                 copy_request.batch, is_read=True, asks_nodes=False
             )
         if record is None or not record.is_current:
-            return message.Response(STATUS_UNKNOWN)
+            return message.Response(STATUS_BATCH_UNKNOWN)
         return message.Response(
             200,
             {"content-type": "application/json"},
@@ -274,7 +280,7 @@
     async def _wait_for_wanted_change(
         self, position: changelog.Position, interest: interests.Interest
     ) -> None:
-        """Waits for a change that the follower wants, or that is lost."""
+        """Waits until the log has a change of interest, or has dropped one."""
         scanned_to = position
         while True:
             found = self.mirror.log.since(scanned_to)
@@ -291,7 +297,7 @@
     def _is_wanted(
         self, entry: stores.Entry, interest: interests.Interest
     ) -> bool:
-        """Tells whether a follower wants to know a change in full."""
+        """Returns whether a follower needs a change in full."""
         batch_id = records.batch_id_of(entry.key)
         if batch_id is None:
             return True
@@ -301,7 +307,7 @@
     def _lacks_value(
         self, entry: stores.Entry, interest: interests.Interest
     ) -> bool:
-        """Tells whether a value is wanted that this node was not told."""
+        """Returns whether this node lacks a value that the follower needs."""
         return (
             entry.value == OMITTED_VALUE
             and records.batch_id_of(entry.key) is not None
@@ -331,10 +337,10 @@
         if entry.value and not self._is_wanted(entry, interest):
             omitted = attrs.evolve(entry, value=OMITTED_VALUE)
             return _fields_of(omitted)
-        return self._encode_once(entry)
+        return self._encode_cached(entry)
 
-    def _encode_once(self, entry: stores.Entry) -> orjson.Fragment:
-        """Returns an entry's encoding, kept for the other followers."""
+    def _encode_cached(self, entry: stores.Entry) -> orjson.Fragment:
+        """Returns an entry's encoding, cached for the other followers."""
         cache_key = (entry.key, entry.revision)
         encoded = self.encoding_cache.get(cache_key)
         if encoded is None:
--- a/src/kingcupscale/peering/transport.py
+++ b/src/kingcupscale/peering/transport.py
@@ -1,4 +1,4 @@
-"""What carries messages between nodes: the interface and the methods."""
+"""Interface of the RPC transport between nodes, and its methods."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -18,7 +18,7 @@
     """One remote procedure.
 
     Attributes:
-        name: Its name on the wire.
+        name: Name of the method in the protocol.
         request: Type of the request.
         reply: Type of the reply.
     """
@@ -38,11 +38,11 @@
 
 
 class PeerError(Exception):
-    """A peer that gave no reply."""
+    """A peer did not reply in time."""
 
 
 class PeerTransport(Protocol):
-    """Calls other nodes."""
+    """Calls remote procedures of other nodes."""
 
     async def call(
         self, address: str, method: Method, request: Any, timeout_s: float
@@ -50,17 +50,17 @@
         """Returns the reply of the node at an address.
 
         Raises:
-            PeerError: If none comes in time.
+            PeerError: If there is no reply within ``timeout_s`` seconds.
         """
         ...
 
 
 class PeerService:
-    """The handlers that a node offers its peers, filled by its parts."""
+    """The handlers for calls of peers; components register theirs."""
 
     def __init__(self) -> None:
         self.handlers: dict[str, Handler] = {}
 
     def register(self, method: Method, handler: Handler) -> None:
-        """Answers a method with a handler."""
+        """Registers the handler of a method."""
         self.handlers[method.name] = handler
--- a/src/kingcupscale/storage/changelog.py
+++ b/src/kingcupscale/storage/changelog.py
@@ -94,8 +94,10 @@
         if position.log == self.id:
             if self.changes and position.number < self.changes[0][0] - 1:
                 return None
-            new = self.number - position.number
-            return [self.changes[i][1] for i in range(-new, 0)] if new else []
+            count = self.number - position.number
+            return (
+                [self.changes[i][1] for i in range(-count, 0)] if count else []
+            )
         if position.revision < self.complete_from:
             return None
         return [e for _, e in self.changes if e.revision > position.revision]
--- a/src/kingcupscale/storage/locks.py
+++ b/src/kingcupscale/storage/locks.py
@@ -21,7 +21,7 @@
 NODES_PREFIX = "kingcupscale/nodes/"
 DUTIES_PREFIX = "kingcupscale/duties/"
 
-# With this interval, two renewals may fail before the lease expires.
+# Renewals per lease lifetime: two may fail before the lease expires.
 RENEWALS_PER_TTL = 4
 # Share of the lease time, at its end, in which the lease no longer counts as
 # held. It covers clock drift and calls that are in flight.
