--- a/tests/platform/test_replication.py
+++ b/tests/platform/test_replication.py
@@ -1,4 +1,8 @@
-"""Copies of texts between nodes that run the same items at a time."""
+"""Replicas of texts on nodes that run the same items at the same time.
+
+Guards against a text that is joined from the events of two runs: after several
+nodes were killed and restarted, two of them may run the same items.
+"""
 
 import unittest
 
@@ -11,9 +15,9 @@
 from tests.platform import harness
 
 
-def _events(first, last, maker):
+def _events(first, last, run):
     return [
-        serverclient.StreamEvent(number, f"{maker}{number}", 1)
+        serverclient.StreamEvent(number, f"{run}{number}", 1)
         for number in range(first, last + 1)
     ]
 
@@ -21,36 +25,36 @@
 class ReplicationTest(unittest.TestCase):
     @parameterized.parameterized.expand(
         [
-            ("goes_on", _events(1, 5, "a"), "a", True),
-            ("of_another_run", _events(1, 5, "b"), "a", False),
-            ("of_another_length", _events(1, 4, "a"), "a", False),
-            ("unknown_so_far", [], "a", False),
-            ("from_the_start", _events(1, 5, "b"), "", True),
+            ("continues", _events(1, 5, "a"), "a", True),
+            ("differs_in_events", _events(1, 5, "b"), "a", False),
+            ("differs_in_length", _events(1, 4, "a"), "a", False),
+            ("receiver_has_none", [], "a", False),
+            ("sent_from_the_start", _events(1, 5, "b"), "", True),
         ]
     )
     @virtual.on_virtual_time
     async def test_texts_of_two_runs_are_not_joined(
-        self, _, known, maker, fits
+        self, _, known, run, is_applied
     ):
         async with harness.launch(nodes=1) as site:
             runtime = site.nodes[0].runtime
             coordinator = runtime.services["engines"].coordinator
             coordinator.partial_texts["i1"] = list(known)
-            events = _events(6, 8, maker)
-            before = handover.digest(_events(1, 5, maker))
-            if not maker:
+            events = _events(6, 8, run)
+            before = handover.digest(_events(1, 5, run))
+            if not run:
                 events, before = _events(1, 8, "c"), ""
             text = handover.TextUpdate("i1", events, before=before)
             copy = handover.ReplicationRequest("engines", [text])
-            self.assertEqual(coordinator.apply_copy(copy), fits)
+            self.assertEqual(coordinator.apply_copy(copy), is_applied)
             expected = known
-            if fits:
-                expected = events if not maker else known + events
+            if is_applied:
+                expected = events if not run else known + events
             self.assertEqual(coordinator.partial_texts["i1"], expected)
 
     @virtual.on_virtual_time
-    async def test_text_that_did_not_fit_is_sent_whole(self):
-        """Load pattern: several nodes killed and back, two run the items."""
+    async def test_text_that_is_out_of_sync_is_sent_in_full(self):
+        """Several nodes were killed and restarted; two run the same items."""
         async with harness.launch(nodes=3) as site:
             holder = site.holder(f"engines/{harness.MODEL}")
             for server in site.servers.values():
--- a/tests/storage/__init__.py
+++ b/tests/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the mirror of the store."""
+"""Tests of the store's mirror, leases, locks and relay."""
--- a/tests/storage/test_locks.py
+++ b/tests/storage/test_locks.py
@@ -1,4 +1,8 @@
-"""A duty that is given up while the node's lease goes on."""
+"""Release of a duty while the node's lease stays valid.
+
+Guards against a node that holds a released duty again under the same fencing
+token, after a lost write, a lost response or an outdated entry from a peer.
+"""
 
 import contextlib
 import unittest
@@ -17,7 +21,7 @@
 
 
 class Store:
-    """Keys under leases; loses the next writes or their answers."""
+    """A store in memory that loses the next writes or their responses."""
 
     def __init__(self):
         self.entries = {}
@@ -40,8 +44,8 @@
         if lost == "write":
             raise stores.StoreError("not sent", False)
         result = self._write(transaction)
-        if lost == "answer":
-            raise stores.StoreError("no answer", True)
+        if lost == "response":
+            raise stores.StoreError("no response", True)
         return result
 
     def _write(self, transaction):
@@ -59,13 +63,15 @@
         return self.revision
 
 
-async def follow_nobody(position):
+async def follow_no_node(position):
     return None
 
 
 def make_lock(store, node):
     clock = virtualtime.VirtualClock()
-    mirror = mirrors.StoreMirror(store, clock, node, lambda: 0.0, follow_nobody)
+    mirror = mirrors.StoreMirror(
+        store, clock, node, lambda: 0.0, follow_no_node
+    )
     session = locks.LeaseSession(store, clock, node, 2.0)
     return locks.DutyLock(DUTY, session, mirror, clock)
 
@@ -75,16 +81,16 @@
         [
             ("at_once", []),
             ("after_a_lost_write", ["write"]),
-            ("after_a_lost_answer", ["answer"]),
-            ("after_several", ["write", "write", "answer"]),
+            ("after_a_lost_response", ["response"]),
+            ("after_several", ["write", "write", "response"]),
         ]
     )
     @virtual.on_virtual_time
-    async def test_fencing_number_is_never_held_again(self, _, lost):
+    async def test_fencing_token_is_never_held_again(self, _, lost):
         store = Store()
         one, two = make_lock(store, "n1"), make_lock(store, "n2")
         await one.try_acquire()
-        fence = one.fencing_token
+        token = one.fencing_token
         mirrored = store.entries[KEY]
         store.lost = list(lost)
         for step in (one.release, *4 * [one.try_acquire]):
@@ -96,8 +102,8 @@
         self.assertNotIn(KEY, store.entries)
         self.assertEqual(store.lost, [])
         await two.try_acquire()
-        self.assertGreater(two.fencing_token, fence)
-        # The removed key once more, by an old answer of another node.
+        self.assertGreater(two.fencing_token, token)
+        # The removed key again, in an outdated response of another node.
         one.mirror.apply(mirrored)
         for _ in range(3):
             await one.try_acquire()
@@ -106,13 +112,13 @@
         self.assertEqual(store.entries[KEY].created, two.fencing_token)
 
     @virtual.on_virtual_time
-    async def test_it_can_be_taken_anew_under_a_higher_number(self):
+    async def test_duty_can_be_acquired_again_with_a_higher_token(self):
         duty_lock = make_lock(Store(), "n1")
         await duty_lock.try_acquire()
-        fence = duty_lock.fencing_token
+        token = duty_lock.fencing_token
         await duty_lock.release()
         self.assertFalse(duty_lock.is_held())
         self.assertEqual(duty_lock.session.users, set())
         await duty_lock.try_acquire()
         self.assertTrue(duty_lock.is_held())
-        self.assertGreater(duty_lock.fencing_token, fence)
+        self.assertGreater(duty_lock.fencing_token, token)
--- a/tests/storage/test_mirror.py
+++ b/tests/storage/test_mirror.py
@@ -1,4 +1,8 @@
-"""The mirror and its log against a store that loses, lags and forgets."""
+"""The mirror and its change log, with late, repeated and missing changes.
+
+Guards against a mirror, or a follower of it, that misses a change or reports
+itself as newer than it is.
+"""
 
 import random
 import unittest
@@ -19,12 +23,12 @@
     return stores.Entry(key, value, revision, revision)
 
 
-async def follow_nobody(position):
+async def follow_no_node(position):
     return None
 
 
 def make_mirror():
-    return mirrors.StoreMirror(None, None, "n1", lambda: 0.0, follow_nobody)
+    return mirrors.StoreMirror(None, None, "n1", lambda: 0.0, follow_no_node)
 
 
 class StoreMirrorTest(unittest.TestCase):
@@ -37,18 +41,18 @@
             ("unknown_removed", [entry("a", 4, None)], {}),
         ]
     )
-    def test_newest_state_of_a_key_holds(self, _, changes, expected):
+    def test_newest_state_of_a_key_is_kept(self, _, changes, expected):
         mirror = make_mirror()
-        heard = []
-        mirror.subscribe("", heard.append)
+        received = []
+        mirror.subscribe("", received.append)
         for change in changes:
             mirror.apply(change)
         found = {key: e.revision for key, e in mirror.entries.items()}
         self.assertEqual(found, expected)
-        revisions = [e.revision for e in heard]
+        revisions = [e.revision for e in received]
         self.assertEqual(revisions, sorted(set(revisions)))
 
-    def test_prefix_takes_only_its_keys(self):
+    def test_prefix_selects_only_its_keys(self):
         mirror = make_mirror()
         for number, key in enumerate(("a/1", "a/2", "ab", "b/1"), 1):
             mirror.apply(entry(key, number))
@@ -58,7 +62,7 @@
 
 
 class ChangingStore:
-    """Two pages, and a change of the second after the first was read."""
+    """A store with two pages; the second changes after the first was read."""
 
     async def scan(self, prefix, after=""):
         if not after:
@@ -75,32 +79,32 @@
 
 class LoadTest(unittest.TestCase):
     @virtual.on_virtual_time
-    async def test_follower_hears_of_what_changed_between_pages(self):
+    async def test_follower_receives_changes_between_pages(self):
         mirror = mirrors.StoreMirror(
             ChangingStore(),
             virtualtime.VirtualClock(),
             "n1",
             lambda: 0.0,
-            follow_nobody,
+            follow_no_node,
         )
         with trio.move_on_after(1):
             await mirror.run()
         found = mirror.log.since(changelog.Position("another", 7, 10))
-        is_told = found is None or [e.key for e in found] == ["b"]
-        self.assertTrue(is_told, found)
+        is_complete = found is None or [e.key for e in found] == ["b"]
+        self.assertTrue(is_complete, found)
         self.assertEqual(mirror.log.since(changelog.Position("", 0, 12)), [])
 
 
 class ChangeLogTest(unittest.TestCase):
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=60)
     @hypothesis.given(strategies.integers(0, 10_000), strategies.integers(1, 5))
-    def test_follower_misses_nothing(self, seed, most_kept):
+    def test_follower_misses_nothing(self, seed, max_changes):
         rng = random.Random(seed)
         log = changelog.ChangeLog()
         leader, follower = {}, {}
         position = changelog.Position("", 0, 0)
-        kept = changelog.MAX_CHANGES
-        changelog.MAX_CHANGES = most_kept
+        original = changelog.MAX_CHANGES
+        changelog.MAX_CHANGES = max_changes
         try:
             for revision in range(1, 40):
                 key = rng.choice("abc")
@@ -119,9 +123,9 @@
                 if rng.random() < 0.1:
                     log.restart(revision)
         finally:
-            changelog.MAX_CHANGES = kept
+            changelog.MAX_CHANGES = original
 
-    def test_far_behind_is_told_so(self):
+    def test_follower_that_is_too_far_behind_gets_none(self):
         log = changelog.ChangeLog()
         log.restart(100)
         log.add(entry("a", 101))
@@ -131,9 +135,9 @@
         self.assertEqual([e.revision for e in log.since(near)], [101])
 
 
-class CompareTest(unittest.TestCase):
+class ChecksumTest(unittest.TestCase):
     @virtual.on_virtual_time
-    async def test_change_that_was_missed_is_read_before_long(self):
+    async def test_missed_change_is_detected(self):
         mirror = make_mirror()
         mirror.clock = virtualtime.VirtualClock()
         leader = make_mirror()
@@ -146,7 +150,7 @@
         self.assertTrue(mirror.has_missed_changes(leader.checksum))
 
     @virtual.on_virtual_time
-    async def test_difference_that_passes_is_none(self):
+    async def test_temporary_difference_is_ignored(self):
         mirror = make_mirror()
         mirror.clock = virtualtime.VirtualClock()
         leader = make_mirror()
@@ -162,10 +166,10 @@
         self.assertFalse(mirror.has_missed_changes(leader.checksum))
 
     @virtual.on_virtual_time
-    async def test_node_that_differs_follows_on_while_the_store_is_away(self):
-        class Away:
+    async def test_differing_node_keeps_following_while_store_is_down(self):
+        class UnreachableStore:
             async def scan(self, prefix, after=""):
-                raise stores.StoreError("away", False)
+                raise stores.StoreError("unreachable", False)
 
         async def follow(position):
             await trio.sleep(0.5)
@@ -173,25 +177,31 @@
             return changelog.Changes([], at, 0.0, 12345)
 
         mirror = mirrors.StoreMirror(
-            Away(), virtualtime.VirtualClock(), "n1", lambda: 0.0, follow
+            UnreachableStore(),
+            virtualtime.VirtualClock(),
+            "n1",
+            lambda: 0.0,
+            follow,
         )
         for _ in range(40):
             await mirror._follow_peer()
             self.assertLess(mirror.age_s(), 1.0)
 
 
-class QuietTest(unittest.TestCase):
+class EmptyWatchTest(unittest.TestCase):
     @parameterized.parameterized.expand([("early", 0.1), ("whole", 0.5)])
     @virtual.on_virtual_time
-    async def test_quiet_answer_tells_no_more_than_its_wait(self, _, wait_s):
-        class Quiet:
+    async def test_empty_response_proves_currency_for_its_wait_only(
+        self, _, wait_s
+    ):
+        class UnchangedStore:
             async def watch(self, prefix, after, allowed_s):
                 await trio.sleep(wait_s)
                 return stores.Page([], after, False)
 
         clock = virtualtime.VirtualClock()
         mirror = mirrors.StoreMirror(
-            Quiet(), clock, "n1", lambda: 0.0, follow_nobody
+            UnchangedStore(), clock, "n1", lambda: 0.0, follow_no_node
         )
         await mirror._watch_store()
         self.assertLessEqual(mirror.current_at, trio.current_time())
--- a/tests/storage/test_polling.py
+++ b/tests/storage/test_polling.py
@@ -1,4 +1,8 @@
-"""How often nodes ask the one that they follow."""
+"""Polling intervals of nodes that follow another node.
+
+Guards against polls of a large fleet that overload the followed node, and
+against intervals that delay a new configuration too long.
+"""
 
 import unittest
 
@@ -21,23 +25,23 @@
             ("short_bound", 380, 0.5, 0.35),
         ]
     )
-    def test_pause_grows_with_the_fleet_within_the_bound(
+    def test_interval_grows_with_the_fleet_up_to_a_limit(
         self, _, nodes, apply_s, expected
     ):
         found = polling.idle_poll_interval_s(nodes, apply_s)
         self.assertAlmostEqual(found, expected)
 
     @virtual.on_virtual_time
-    async def test_followed_node_answers_a_bounded_number(self):
-        """Load pattern: servers change their entries all the time."""
+    async def test_followed_node_receives_a_limited_number_of_polls(self):
+        """Servers update their entries all the time."""
         async with harness.launch(nodes=60) as site:
             leader = site.holder().runtime
-            answers = 0
+            polls = 0
             follow = leader.relay.__call__
 
             async def count(request):
-                nonlocal answers
-                answers += request.path == relay.PATH
+                nonlocal polls
+                polls += request.path == relay.PATH
                 return await follow(request)
 
             leader.relay = count
@@ -45,7 +49,7 @@
                 for server in site.servers.values():
                     server.register()
                 await trio.sleep(0.1)
-            self.assertLess(answers / 10, 130)
+            self.assertLess(polls / 10, 130)
             configuration = harness.make_configuration(version=9)
             site.write_configuration(configuration)
             await trio.sleep(1.2)
--- a/tests/storage/test_relay.py
+++ b/tests/storage/test_relay.py
@@ -1,4 +1,9 @@
-"""Following another node's mirror: nothing is skipped."""
+"""Following another node's mirror.
+
+Guards against a change that is added just as a long poll ends and is skipped by
+the position in the response, and against a response that claims to be newer
+than the followed mirror.
+"""
 
 import random
 import unittest
@@ -16,12 +21,12 @@
 from tests import virtual
 
 
-async def follow_nobody(position):
+async def follow_no_node(position):
     return None
 
 
 class HandlerExchanger:
-    """Carries calls to one handler."""
+    """Passes requests to one handler."""
 
     def __init__(self, handler):
         self.handler = handler
@@ -35,7 +40,7 @@
 
 
 class NoBatches:
-    """A node that knows no batches."""
+    """A batch index without batches."""
 
     records = {}
 
@@ -48,11 +53,11 @@
         [(seed,) for seed in (1, 2, 3, 4, 5, 6, 7, 8)]
     )
     @virtual.on_virtual_time
-    async def test_change_at_the_end_of_a_wait_is_not_skipped(self, seed):
+    async def test_change_at_the_end_of_a_long_poll_is_not_skipped(self, seed):
         rng = random.Random(seed)
         clock = virtualtime.VirtualClock()
         mirror = mirrors.StoreMirror(
-            None, clock, "n1", lambda: 0.0, follow_nobody
+            None, clock, "n1", lambda: 0.0, follow_no_node
         )
         mirror.current_at = 0.0
         client = relay.HttpRelayClient(
@@ -61,7 +66,7 @@
 
         async def change():
             for revision in range(1, 41):
-                # Most changes come just as a wait ends.
+                # Most changes are added just as a long poll ends.
                 await trio.sleep(relay.LONG_POLL_S * rng.choice([0.5, 1, 1, 1]))
                 mirror.apply(stores.Entry("key", b"v", revision, 1))
                 mirror.revision = revision
@@ -80,10 +85,10 @@
                 self.assertGreaterEqual(known, position.revision)
 
     @virtual.on_virtual_time
-    async def test_answer_is_no_newer_than_the_mirror(self):
+    async def test_response_is_no_newer_than_the_mirror(self):
         clock = virtualtime.VirtualClock()
         mirror = mirrors.StoreMirror(
-            None, clock, "n1", lambda: 0.0, follow_nobody
+            None, clock, "n1", lambda: 0.0, follow_no_node
         )
         mirror.current_at = 0.0
         mirror.revision = 9
@@ -92,7 +97,8 @@
         )
 
         async def change():
-            # The follower knows of this one, so it gets an empty answer early.
+            # The follower already has this change, so the long poll ends early
+            # with an empty response.
             await trio.sleep(0.1)
             mirror.apply(stores.Entry("key", b"v", 9, 9))
             mirror.notify_changed()
--- a/tests/storage/test_session.py
+++ b/tests/storage/test_session.py
@@ -1,4 +1,8 @@
-"""A node's lease: nothing of it outlives its close."""
+"""Leases of a node.
+
+Guards against a lease or an entry that remains after its session was closed,
+which would delay successors, and against needless renewals.
+"""
 
 import unittest
 
@@ -14,19 +18,19 @@
 
 
 class SlowStore:
-    """Grants and renews leases, after a while."""
+    """A store that grants and renews leases with a delay."""
 
     def __init__(self):
         self.leases = set()
         self.granted = 0
         self.renewals = 0
-        self.is_forgetful = False
+        self.loses_grants = False
         self.commits = []
 
     async def grant(self, ttl_s):
         self.granted += 1
         lease = self.granted
-        if not self.is_forgetful:
+        if not self.loses_grants:
             self.leases.add(lease)
         await trio.sleep(0.3)
         return lease
@@ -48,9 +52,9 @@
 
 
 def make_session(store, kind):
-    """Returns a session that something needs."""
+    """Returns a session with a user."""
     clock = virtualtime.VirtualClock()
-    if kind == "presence":
+    if kind == "registration":
         return locks.NodeRegistration(store, clock, "n1", TTL_S, b"{}")
     session = locks.LeaseSession(store, clock, "n1", TTL_S)
     session.users.add("duty")
@@ -61,7 +65,7 @@
     @parameterized.parameterized.expand(
         [
             (f"{kind}_after_{ms}_ms", kind, ms / 1000)
-            for kind in ("duties", "presence")
+            for kind in ("duties", "registration")
             for ms in range(100, 2000, 150)
         ]
     )
@@ -79,17 +83,17 @@
             self.assertEqual(store.leases, set())
             nursery.cancel_scope.cancel()
 
-    @parameterized.parameterized.expand([("duties",), ("presence",)])
+    @parameterized.parameterized.expand([("duties",), ("registration",)])
     @virtual.on_virtual_time
-    async def test_lease_that_ends_as_its_session_is_closed(self, kind):
+    async def test_lease_that_expires_as_its_session_is_closed(self, kind):
         store = SlowStore()
         session = make_session(store, kind)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(session.run)
             await trio.sleep(0.5)
             store.leases.clear()
-            # The next one is gone before it can be given back.
-            store.is_forgetful = True
+            # The next lease expires before it can be revoked.
+            store.loses_grants = True
             while store.granted < 2:
                 await trio.sleep(0.05)
             await session.close()
@@ -97,7 +101,7 @@
             self.assertFalse(session.is_held())
 
     @virtual.on_virtual_time
-    async def test_lease_that_nothing_needs_is_not_renewed(self):
+    async def test_lease_without_users_is_not_renewed(self):
         store = SlowStore()
         session = make_session(store, "duties")
         async with trio.open_nursery() as nursery:
@@ -115,7 +119,7 @@
             nursery.cancel_scope.cancel()
 
     @virtual.on_virtual_time
-    async def test_two_who_open_a_session_get_one_lease(self):
+    async def test_concurrent_opens_of_a_session_get_one_lease(self):
         store = SlowStore()
         session = make_session(store, "duties")
         async with trio.open_nursery() as nursery:
@@ -124,9 +128,9 @@
         self.assertEqual(store.granted, 1)
 
     @virtual.on_virtual_time
-    async def test_lease_that_the_store_has_ended_is_followed_by_another(self):
+    async def test_lease_that_expired_in_the_store_is_replaced(self):
         store = SlowStore()
-        session = make_session(store, "presence")
+        session = make_session(store, "registration")
         async with trio.open_nursery() as nursery:
             nursery.start_soon(session.run)
             await trio.sleep(1)
--- a/tests/storage/test_view.py
+++ b/tests/storage/test_view.py
@@ -1,4 +1,8 @@
-"""When a node's view of the store is new enough to act on."""
+"""When a node's view of the store counts as current.
+
+Guards against acting on an old view while other nodes act on newer changes, and
+against stopping while no node can reach the store.
+"""
 
 import unittest
 
@@ -26,19 +30,25 @@
 class ViewTest(unittest.TestCase):
     @parameterized.parameterized.expand(
         [
-            ("new", 0.2, False, 0.1, True),
+            ("recent", 0.2, False, 0.1, True),
             ("almost_old", 2.9, False, 0.1, True),
-            ("old_beside_nodes_that_answer", 3.1, False, 0.1, False),
-            ("old_by_a_reading_that_takes_long", 21.0, False, 21.0, False),
-            ("store_silent_for_the_others_too", 9.0, True, 0.5, True),
-            ("store_silent_and_others_not_asked_since", 3.5, True, 2.0, False),
-            ("store_silent_and_others_too", 9.0, True, 4.5, False),
-            ("store_silent_and_no_other_node", 9.0, True, None, True),
-            ("alone_but_behind", 9.0, False, None, False),
+            ("old_while_other_nodes_respond", 3.1, False, 0.1, False),
+            ("old_because_of_a_slow_read", 21.0, False, 21.0, False),
+            ("store_unreachable_for_others_too", 9.0, True, 0.5, True),
+            (
+                "store_unreachable_and_others_not_asked_since",
+                3.5,
+                True,
+                2.0,
+                False,
+            ),
+            ("store_and_other_nodes_unreachable", 9.0, True, 4.5, False),
+            ("store_unreachable_and_no_other_node", 9.0, True, None, True),
+            ("no_other_node_but_behind", 9.0, False, None, False),
         ]
     )
     @virtual.on_virtual_time
-    async def test_old_view_is_told_from_a_silent_store(
+    async def test_old_view_differs_from_an_unreachable_store(
         self, _, age_s, is_unreachable, peer_answered_s, is_current
     ):
         await trio.sleep(NOW_S)
