--- a/src/kingcupscale/platform/frontend.py
+++ b/src/kingcupscale/platform/frontend.py
@@ -1,4 +1,4 @@
-"""Callers' requests on the platform's wire, and the answers to them."""
+"""HTTP handler for callers: decodes requests and encodes responses."""
 
 from collections.abc import Callable
 import urllib.parse
@@ -8,28 +8,28 @@
 from kingcupscale import clock as clocks
 from kingcupscale import errors
 from kingcupscale.fleet import catalogue
-from kingcupscale.gateway import callers
-from kingcupscale.gateway import inbound as inbounds
+from kingcupscale.gateway import callerservice
+from kingcupscale.gateway import inboundrequest
 from kingcupscale.platform import documents
 from kingcupscale.platform import names
 from kingcupscale.web import message
 
-# For requests that do not say how long their callers wait.
-USUAL_PATIENCE_S = 10.0
+# For requests without a deadline header.
+DEFAULT_DEADLINE_S = 10.0
 
 
 class Frontend:
-    """A handler for callers.
+    """Handles the HTTP requests of callers.
 
     Args:
-        service: Answers the decoded requests.
-        clock: Tells the time.
-        is_draining: Tells whether connections are to be closed.
+        service: Handles the decoded requests.
+        clock: Source of time.
+        is_draining: Returns whether responses should close connections.
     """
 
     def __init__(
         self,
-        service: callers.Callers,
+        service: callerservice.CallerService,
         clock: clocks.Clock,
         is_draining: Callable[[], bool],
     ) -> None:
@@ -69,44 +69,48 @@
             raise errors.ServiceError(
                 errors.ResultCode.BODY_INVALID, str(e)
             ) from None
-        await self.service.submit(new, inbound)
+        await self.service.submit_batch(new, inbound)
         return message.Response(202)
 
     async def _answer_batch(self, request: message.Request) -> message.Response:
         batch_id = request.path.removeprefix(names.BATCHES_PATH)
         key = request.headers.get(names.KEY, "")
-        record = await self.service.find(batch_id, key)
+        record = await self.service.find_batch(batch_id, key)
         if request.method == "DELETE":
-            await self.service.end(record, _patience_s(request))
+            await self.service.end_batch(record, _patience_s(request))
             return message.json_response({})
         if request.method != "GET":
             raise errors.ServiceError(errors.ResultCode.METHOD_NOT_ALLOWED)
         after = _decode_position(_query(request, "after") or "0")
         wait_s = _milliseconds(request, names.WAIT_MS, 0.0)
-        results = await self.service.read(record, after, min(wait_s, 1.0))
+        results = await self.service.read_results(
+            record, after, min(wait_s, 1.0)
+        )
         body = documents.encode_results(len(record.batch.items), results, after)
         return message.Response(200, {"content-type": "application/json"}, body)
 
     async def _answer_item(self, request: message.Request) -> message.Response:
         batch_id = request.path.removeprefix(names.ITEMS_PATH)
         key = request.headers.get(names.KEY, "")
-        record = await self.service.find(batch_id, key)
+        record = await self.service.find_batch(batch_id, key)
         if request.method != "GET":
             raise errors.ServiceError(errors.ResultCode.METHOD_NOT_ALLOWED)
-        body = self.service.item_body(record, _query(request, "id"))
+        body = self.service.find_item_body(record, _query(request, "id"))
         return message.Response(
             200, {"content-type": "application/octet-stream"}, body
         )
 
-    def _decode(self, request: message.Request) -> inbounds.Inbound:
+    def _decode(
+        self, request: message.Request
+    ) -> inboundrequest.InboundRequest:
         request_id = request.headers.get(names.REQUEST_ID, "")
         if not request_id:
             raise errors.ServiceError(
-                errors.ResultCode.HEADER_INVALID, "a request needs an id"
+                errors.ResultCode.HEADER_INVALID, "expected a request id header"
             )
         resume_after = request.headers.get(names.RESUME_AFTER, "")
         dropped = names.CONNECTION_HEADERS | names.OWN_REQUEST_HEADERS
-        return inbounds.Inbound(
+        return inboundrequest.InboundRequest(
             request_id=request_id,
             method=request.method,
             host=request.headers.get("host", ""),
@@ -119,14 +123,14 @@
             },
             body=request.body,
             key=request.headers.get(names.KEY, ""),
-            patience_s=_patience_s(request),
+            timeout_s=_patience_s(request),
             received_at=self.clock.monotonic(),
             resume_after=int(resume_after) if resume_after.isdigit() else None,
         )
 
 
 def _patience_s(request: message.Request) -> float:
-    return _milliseconds(request, names.DEADLINE_MS, USUAL_PATIENCE_S)
+    return _milliseconds(request, names.DEADLINE_MS, DEFAULT_DEADLINE_S)
 
 
 def _milliseconds(
@@ -143,20 +147,21 @@
 def _decode_position(value: str) -> int:
     if not value.isdigit():
         raise errors.ServiceError(
-            errors.ResultCode.HEADER_INVALID, f"position {value[:20]!r}"
+            errors.ResultCode.HEADER_INVALID,
+            f"position: expected a number, found {value[:20]!r}",
         )
     return int(value)
 
 
 def encode_error(error: errors.ServiceError) -> message.Response:
-    """Returns the response that shows an error."""
+    """Returns the response for an error."""
     response = message.Response(
         error.code.status,
         {"content-type": "application/json"},
         orjson.dumps(error.to_body()),
     )
     if error.code.status == 503:
-        # Fractions of a second are understood here.
+        # The platform's callers accept fractions of a second.
         seconds = error.retry_after_s if error.retry_after_s else 0.5
         response.headers["retry-after"] = f"{seconds:g}"
     return response
--- a/src/kingcupscale/platform/servers.py
+++ b/src/kingcupscale/platform/servers.py
@@ -1,4 +1,4 @@
-"""Calls to backend servers over the platform's wire."""
+"""HTTP client for backend servers."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -13,16 +13,16 @@
 from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
-# An order is acknowledged before it is carried out, so its answer is short.
+# A server acknowledges an order before it executes it, so it answers quickly.
 ORDER_TIMEOUT_S = 0.8
-# Reports name models and runs, in some ten bytes each.
+# A report lists models and runs, with about ten bytes each.
 MAX_REPORT_BYTES = 256 * 1024
-# An event holds a few tokens; a longer one never ends.
+# An event holds a few tokens. A longer one is assumed never to end.
 MAX_EVENT_BYTES = 64 * 1024
 
 _ORDER_OUTCOMES = {
     202: serverclient.OrderOutcome.ACCEPTED,
-    200: serverclient.OrderOutcome.HOLDS_ALREADY,
+    200: serverclient.OrderOutcome.ALREADY_LOADED,
     409: serverclient.OrderOutcome.BUSY,
     412: serverclient.OrderOutcome.FENCED,
 }
@@ -32,7 +32,7 @@
     """A ``ServerClient`` over HTTP.
 
     Args:
-        http_client: Carries the calls.
+        http_client: The HTTP client.
     """
 
     def __init__(self, http_client: httpclient.HttpClient) -> None:
@@ -41,8 +41,8 @@
     @contextlib.asynccontextmanager
     async def run(
         self, server: registry.Server, call: serverclient.Call, connect_s: float
-    ) -> AsyncIterator[serverclient.Answer]:
-        """Sends a request; leaving the context early abandons the answer."""
+    ) -> AsyncIterator[serverclient.ServerResponse]:
+        """Sends a request; leaving the context early cancels it."""
         request = message.Request(
             call.method,
             call.path,
@@ -51,21 +51,21 @@
             call.body,
         )
         request.connect_timeout_s = connect_s
-        if call.check is not None:
-            request.before_send = call.check
+        if call.before_send is not None:
+            request.before_send = call.before_send
         try:
             async with self.http_client.open(
-                server.entry.address, request, call.time_left_s
+                server.entry.address, request, call.timeout_s
             ) as response:
-                _note_leaving(server, response)
+                _mark_leaving(server, response)
                 answer = _decode_answer(response)
                 echoed = response.headers.get(names.REQUEST_ID)
-                # Refusals need not name the request; all else does, and an
-                # answer that does not may belong to an earlier request.
-                is_nameless_refusal = echoed is None and answer.not_run
-                if echoed != call.request_id and not is_nameless_refusal:
+                # Every answer but a refusal must echo the request's id. One
+                # that does not may belong to an earlier request.
+                is_refusal_without_id = echoed is None and answer.not_executed
+                if echoed != call.request_id and not is_refusal_without_id:
                     raise serverclient.ServerError(
-                        f"answer to another request, {echoed}", True
+                        f"answer has another request's id: {echoed}", True
                     )
                 yield answer
         except httpclient.RequestError as e:
@@ -74,9 +74,9 @@
             ) from e
 
     async def events(
-        self, answer: serverclient.Answer
+        self, answer: serverclient.ServerResponse
     ) -> AsyncIterator[serverclient.StreamEvent]:
-        """Yields the whole events of a streamed answer."""
+        """Yields the complete events of a streamed answer."""
         version = answer.version
         pending = b""
         async for piece in answer.body:
@@ -87,23 +87,24 @@
                 version = event.version
                 yield event
             if len(pending) > MAX_EVENT_BYTES:
-                raise serverclient.ServerError("an event without end", True)
+                raise serverclient.ServerError("event exceeds size limit", True)
         if pending.strip():
             raise serverclient.ServerError("stream ends inside an event", True)
 
     async def order(
         self, server: registry.Server, order: serverclient.VersionOrder
     ) -> serverclient.OrderOutcome:
-        """Gives an order and returns its ``OrderOutcome``."""
+        """Sends an order to load a weight version and returns its outcome."""
         body = {
             "op": "version",
             "model": order.model,
             "version": order.version,
-            # "retain" lets runs go on, "park" lets them finish first.
-            "mode": "retain" if order.keeps_runs else "park",
+            # With "retain" runs continue on the new version, with "park" the
+            # server waits until they have finished.
+            "mode": "retain" if order.keeps_running_requests else "park",
             "holder": order.holder.node,
             "fence": order.holder.fencing_token,
-            # The wire calls the count of accepted orders a revision here.
+            # The protocol calls the number of accepted orders a revision.
             "expectedRev": order.expected_sequence,
         }
         request = message.json_request(
@@ -115,10 +116,10 @@
             response.status, serverclient.OrderOutcome.REFUSED
         )
 
-    async def report(
+    async def fetch_engine_status(
         self, server: registry.Server
-    ) -> serverclient.EngineReport:
-        """Returns how an engine stands."""
+    ) -> serverclient.EngineStatus:
+        """Returns the status report of an engine."""
         request = message.Request(
             "GET", "/report", "", {names.EXPECT_SERVER: server.id}
         )
@@ -127,7 +128,7 @@
             raise serverclient.ServerError(f"status {response.status}", False)
         try:
             fields = orjson.loads(response.body)
-            return serverclient.EngineReport(
+            return serverclient.EngineStatus(
                 documents.decode_versions(fields["models"]),
                 bool(fields["busy"]),
                 int(fields["sequence"]),
@@ -154,16 +155,18 @@
         except locks.DutyLostError as e:
             raise serverclient.ServerError("duty not held", False) from e
         if names.SIGNATURE in response.headers:
-            # Only answers to requests are signed: a late copy of one of them.
+            # Servers sign only answers to callers' requests, so this is a late
+            # copy of such an answer.
             raise serverclient.ServerError("answer to another request", True)
-        _note_leaving(server, response)
+        _mark_leaving(server, response)
         return response
 
 
-def _note_leaving(server: registry.Server, response: message.Response) -> None:
-    """Tells a server that it leaves, if this answer is its own.
+def _mark_leaving(server: registry.Server, response: message.Response) -> None:
+    """Marks a server as leaving if its own answer says so.
 
-    Another server may have got the address; it answers 421 with its own id.
+    Another server may have been given the address. It answers 421 with its own
+    id.
     """
     if response.headers.get(names.SERVER_LEAVING, "").strip() != "1":
         return
@@ -178,7 +181,7 @@
     headers = dict(call.headers)
     headers["host"] = call.host
     headers[names.REQUEST_ID] = call.request_id
-    headers[names.DEADLINE_MS] = str(max(1, int(call.time_left_s * 1000)))
+    headers[names.DEADLINE_MS] = str(max(1, int(call.timeout_s * 1000)))
     headers[names.EXPECT_SERVER] = server.id
     if call.organisation is not None:
         headers[names.ORGANISATION] = call.organisation
@@ -191,39 +194,39 @@
     return headers
 
 
-def _decode_answer(response: message.Response) -> serverclient.Answer:
+def _decode_answer(response: message.Response) -> serverclient.ServerResponse:
     headers = response.headers
-    return serverclient.Answer(
+    return serverclient.ServerResponse(
         status=response.status,
         headers={
             name: value
             for name, value in headers.items()
             if name not in names.CONNECTION_HEADERS
         },
-        # Only this header, or a wrong server, says that nothing ran.
-        not_run=names.NOT_RUN in headers or response.status == 421,
+        # Only this header, or the wrong server's 421, shows that nothing ran.
+        not_executed=names.NOT_RUN in headers or response.status == 421,
         wrong_server=response.status == 421,
         signature=headers.get(names.SIGNATURE, ""),
-        version=_whole(headers.get(names.WEIGHT_VERSION)) or 0,
+        version=_parse_int(headers.get(names.WEIGHT_VERSION)) or 0,
         load=_decode_load(headers.get(names.SERVER_LOAD)),
-        body=response.chunks or _no_pieces(),
+        body=response.chunks or _empty_body(),
     )
 
 
-async def _no_pieces() -> AsyncIterator[bytes]:
+async def _empty_body() -> AsyncIterator[bytes]:
     return
     yield b""
 
 
 def _decode_load(value: str | None) -> int | None:
-    """Returns requests running and waiting, of "running,waiting,slots"."""
-    numbers = [_whole(part) for part in (value or "").split(",")]
+    """Returns the running plus waiting requests of "running,waiting,slots"."""
+    numbers = [_parse_int(part) for part in (value or "").split(",")]
     if len(numbers) != 3 or None in numbers:
         return None
     return (numbers[0] or 0) + (numbers[1] or 0)
 
 
-def _whole(value: str | None) -> int | None:
+def _parse_int(value: str | None) -> int | None:
     text = (value or "").strip()
     return int(text) if text.isdigit() else None
 
@@ -235,11 +238,11 @@
         name, _, value = line.partition(":")
         value = value.removeprefix(" ")
         if name == "id":
-            number = _whole(value)
+            number = _parse_int(value)
         elif name == "data":
             data.append(value)
         elif name == names.WEIGHT_VERSION:
-            version = _whole(value) or version
+            version = _parse_int(value) or version
     if number is None:
-        raise serverclient.ServerError("an event without a number", True)
+        raise serverclient.ServerError("event without a numeric id", True)
     return serverclient.StreamEvent(number, "\n".join(data), version)
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -21,7 +21,7 @@
 from kingcupscale.fleet import peers
 from kingcupscale.fleet import registry
 from kingcupscale.gateway import admission as admissions
-from kingcupscale.gateway import callers
+from kingcupscale.gateway import callerservice
 from kingcupscale.gateway import forwarder
 from kingcupscale.peering import commits
 from kingcupscale.peering import counts
@@ -120,7 +120,7 @@
             self.clock,
             settings.node,
             settings.bounds.cancel_s,
-            self.peers.heard_at,
+            self.peers.peer_answered_at,
         )
         self.server_registry = registry.ServerRegistry(
             self.clock,
@@ -193,7 +193,7 @@
             deps.rng,
             settings.zone,
         )
-        self.callers = callers.Callers(
+        self.callers = callerservice.CallerService(
             admission,
             self.forwarder,
             self.batch_cache,
@@ -301,7 +301,7 @@
         """
         if self.is_leader() and not self.mirror.is_unreachable:
             return None
-        return await self.peers.follow(
+        return await self.peers.fetch_changes(
             position,
             self.batch_cache.interest,
             any_node=self.mirror.is_unreachable,
@@ -315,7 +315,7 @@
             duty = leadership.model_duty_name(service, model or "")
             nodes.append(self.peers.holder(duty))
         others = [n for n in dict.fromkeys(nodes) if n != self.settings.node]
-        return await self.peers.copy_of(batch_id, others)
+        return await self.peers.fetch_copy(batch_id, others)
 
     async def _update_interest(self) -> None:
         """Keeps the set of batches up to date that this node's duties need."""
