--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -27,7 +27,7 @@
 from kingcupscale.peering import counts
 from kingcupscale.peering import handover
 from kingcupscale.peering import loads
-from kingcupscale.peering import polling
+from kingcupscale.peering import pace
 from kingcupscale.peering import relay
 from kingcupscale.storage import changelog
 from kingcupscale.storage import fallback
@@ -337,7 +337,7 @@
         )
         if self.mirror.is_following and is_needed:
             return ACTIVE_POLL_INTERVAL_S
-        return polling.idle_poll_interval_s(
+        return pace.idle_poll_interval_s(
             len(self.candidates.names()), self.settings.bounds.apply_s
         )
 
