--- a/src/kingcupscale/peering/calls.py
+++ b/src/kingcupscale/peering/calls.py
@@ -44,7 +44,7 @@
     """Sends a value to another node and returns the body of its response.
 
     Args:
-        http_client: Carries the call.
+        http_client: Sends the requests.
         address: ``host:port`` of the node.
         path: Path of the request.
         value: Value to send, an ``attrs`` instance.
@@ -77,7 +77,7 @@
     return _converter.dumps(value)
 
 
-def decode_answer(body: bytes, kind: type[T]) -> T:
+def decode_response(body: bytes, kind: type[T]) -> T:
     """Returns the decoded body of a response of another node.
 
     Raises:
--- a/src/kingcupscale/peering/commits.py
+++ b/src/kingcupscale/peering/commits.py
@@ -48,7 +48,7 @@
     """A ``CommitClient`` over HTTP.
 
     Args:
-        http_client: Carries the calls.
+        http_client: Sends the requests.
     """
 
     def __init__(self, http_client: httpclient.HttpClient) -> None:
@@ -62,7 +62,7 @@
             body = await calls.post(
                 self.http_client, address, PATH, transaction, TIMEOUT_S
             )
-            return calls.decode_answer(body, Committed).revision
+            return calls.decode_response(body, Committed).revision
         except calls.PeerError as e:
             may_have_run = (
                 e.may_have_been_sent and e.status != STATUS_NOT_COMMITTED
--- a/src/kingcupscale/peering/counts.py
+++ b/src/kingcupscale/peering/counts.py
@@ -46,7 +46,7 @@
     """A ``CountsClient`` over HTTP.
 
     Args:
-        http_client: Carries the calls.
+        http_client: Sends the requests.
     """
 
     def __init__(self, http_client: httpclient.HttpClient) -> None:
--- a/src/kingcupscale/peering/handover.py
+++ b/src/kingcupscale/peering/handover.py
@@ -45,7 +45,7 @@
     before: str = ""
 
     def continues(self, known: list[serverclient.StreamEvent]) -> bool:
-        """Returns whether the new events continue a known text."""
+        """Returns whether the new events continue a text."""
         if not self.events or self.events[0].number == 1:
             return True
         is_next = self.events[0].number == len(known) + 1
@@ -96,7 +96,7 @@
     """A ``CopyClient`` over HTTP.
 
     Args:
-        http_client: Carries the calls.
+        http_client: Sends the requests.
     """
 
     def __init__(self, http_client: httpclient.HttpClient) -> None:
--- a/src/kingcupscale/peering/loads.py
+++ b/src/kingcupscale/peering/loads.py
@@ -25,8 +25,7 @@
         version: Weight version that the engine has, or will have after
             ``closed_s``.
         closed_s: Seconds for which the engine accepts no samples of the model.
-        loading_s: Seconds for which runs of other models on the engine may be
-            delayed.
+        loading_s: Seconds for which other runs on the engine may be delayed.
     """
 
     server: str
@@ -52,7 +51,7 @@
     """A ``LoadClient`` over HTTP.
 
     Args:
-        http_client: Carries the calls.
+        http_client: Sends the requests.
     """
 
     def __init__(self, http_client: httpclient.HttpClient) -> None:
--- a/src/kingcupscale/peering/relay.py
+++ b/src/kingcupscale/peering/relay.py
@@ -133,7 +133,7 @@
     """A ``RelayClient`` over HTTP.
 
     Args:
-        http_client: Carries the calls.
+        http_client: Sends the requests.
     """
 
     def __init__(self, http_client: httpclient.HttpClient) -> None:
@@ -186,7 +186,7 @@
             if e.status == STATUS_BATCH_UNKNOWN:
                 return None
             raise
-        return calls.decode_answer(body, records.RecordSnapshot)
+        return calls.decode_response(body, records.RecordSnapshot)
 
     async def probe(self, address: str) -> None:
         """Checks whether a node is running."""
--- a/src/kingcupscale/storage/fallback.py
+++ b/src/kingcupscale/storage/fallback.py
@@ -47,17 +47,17 @@
             may_have_run = e.may_have_run
             reason = e.reason
         try:
-            answer = await self.commit_through_peer(transaction)
+            result = await self.commit_through_peer(transaction)
         except stores.StoreError as e:
             raise stores.StoreError(
                 f"{reason}; through another node: {e.reason}",
                 may_have_run or e.may_have_run,
             ) from e
-        if answer is None:
+        if result is None:
             raise stores.StoreError(reason, may_have_run)
         events.log(
             events.Event.WRITTEN_THROUGH_PEER,
             keys=[put.key for put in transaction.puts][:4],
             reason=reason,
         )
-        return answer[0]
+        return result[0]
--- a/src/kingcupscale/storage/locks.py
+++ b/src/kingcupscale/storage/locks.py
@@ -317,19 +317,19 @@
             return
         if self.fencing_token and self.lease != self.session.lease:
             self._set_lost()
-        known = self.mirror.entries.get(self.key)
-        if known is not None and known.created == self.released_token:
-            await self._remove(known)
+        entry = self.mirror.entries.get(self.key)
+        if entry is not None and entry.created == self.released_token:
+            await self._remove(entry)
             return
-        if known is not None and not self._is_own(known):
+        if entry is not None and not self._is_own(entry):
             return
         await self.session.open()
         if not self.session.is_held():
             return
-        if known is None:
-            known = await self._create()
-        if known is not None and self._is_own(known):
-            self._set_held(known.created)
+        if entry is None:
+            entry = await self._create()
+        if entry is not None and self._is_own(entry):
+            self._set_held(entry.created)
 
     async def release(self) -> None:
         """Releases the duty to another node, while the lease stays valid.
@@ -343,13 +343,13 @@
             return
         self.released_token = self.fencing_token
         self._set_lost()
-        known = self.mirror.entries.get(self.key)
-        if known is not None and known.created == self.released_token:
-            await self._remove(known)
+        entry = self.mirror.entries.get(self.key)
+        if entry is not None and entry.created == self.released_token:
+            await self._remove(entry)
 
-    async def _remove(self, known: stores.Entry) -> None:
+    async def _remove(self, entry: stores.Entry) -> None:
         """Removes the key of a released duty, unless it has changed."""
-        condition = stores.Condition(self.key, known.revision)
+        condition = stores.Condition(self.key, entry.revision)
         revision = await self.session.store.commit(
             stores.Transaction([condition], removals=[self.key])
         )
--- a/src/kingcupscale/storage/mirror.py
+++ b/src/kingcupscale/storage/mirror.py
@@ -165,17 +165,17 @@
 
     def apply(self, entry: stores.Entry) -> None:
         """Applies a change, unless the mirror has a newer state of its key."""
-        known = self.entries.get(entry.key)
-        if known is not None and known.revision >= entry.revision:
+        previous = self.entries.get(entry.key)
+        if previous is not None and previous.revision >= entry.revision:
             return
         if entry.value is None:
-            if known is None:
+            if previous is None:
                 return
             del self.entries[entry.key]
         else:
             self.entries[entry.key] = entry
         if not self._is_excluded(entry.key):
-            self.checksum ^= _checksum_of(known) ^ _checksum_of(entry)
+            self.checksum ^= _checksum_of(previous) ^ _checksum_of(entry)
         self.log.add(entry)
         for prefix, listener in self.listeners:
             if entry.key.startswith(prefix):
--- a/src/kingcupscale/storage/view.py
+++ b/src/kingcupscale/storage/view.py
@@ -16,7 +16,7 @@
 
 
 class MirrorAge(Protocol):
-    """The part of a mirror that tells how old it is.
+    """The part of a mirror that shows its age.
 
     Attributes:
         current_at: Monotonic time at which the mirror was last known to be
