--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -98,21 +98,21 @@
         "return is_alone and bool(self.peers.addresses())",
         "return False",
         SITE + "test_configurations.ConfigurationTest"
-        ".test_node_that_hears_nobody_stops_admitting",
+        ".test_isolated_node_stops_admitting",
     ),
     Break(
         "no refusal rests on an old configuration",
         "gateway/admission.py",
         "return self.find_doubt() or errors.ServiceError(code)",
         "return errors.ServiceError(code)",
-        SITE + "test_configurations.OldViewTest",
+        SITE + "test_configurations.StaleConfigurationTest",
     ),
     Break(
         "no batch is hidden by an old configuration",
         "gateway/callers.py",
         "if doubt and is_there and e.code is errors.ResultCode.BATCH_UNKNOWN:",
         "if False:",
-        SITE + "test_configurations.OldViewTest",
+        SITE + "test_configurations.StaleConfigurationTest",
     ),
     Break(
         "texts go on after a takeover",
@@ -237,7 +237,7 @@
         "runtime.py",
         "self.registration.note_removed()",
         "pass",
-        SITE + "test_lifecycle.PresenceTest",
+        SITE + "test_lifecycle.RegistrationTest",
     ),
     Break(
         "a lease that nothing needs is not renewed",
--- a/tests/platform/fakestore.py
+++ b/tests/platform/fakestore.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store in memory."""
+"""An in-memory fake of the platform's metadata store."""
 
 import base64
 import collections
@@ -17,7 +17,16 @@
 
 
 class Store:
-    """The metadata store."""
+    """The HTTP handler of the fake metadata store.
+
+    Attributes:
+        history_from: Revision up to which the history is compacted.
+        latency_s: Delay before each call is handled.
+        link_bytes_per_s: Bandwidth shared by all responses; 0 for unlimited.
+        is_down: Whether all calls are answered with 503.
+        drops_commit_responses: Whether transactions run but get no response.
+        calls: Number of calls, by the first segment of their path.
+    """
 
     def __init__(self):
         self.items = {}
@@ -50,7 +59,7 @@
         return response
 
     async def send(self, size):
-        """Waits until an answer has gone over the link that all share."""
+        """Waits until a response has been sent over the shared link."""
         if self.link_bytes_per_s:
             begin = max(trio.current_time(), self.link_free_at)
             self.link_free_at = begin + size / self.link_bytes_per_s
@@ -78,16 +87,18 @@
             "created": created,
             "lease": lease,
         }
-        self.note(self.items[key])
+        self.record_event(self.items[key])
 
     def remove(self, key):
         if key not in self.items:
             return
         self.revision += 1
         del self.items[key]
-        self.note({"key": key, "revision": self.revision, "deleted": True})
+        self.record_event(
+            {"key": key, "revision": self.revision, "deleted": True}
+        )
 
-    def note(self, event):
+    def record_event(self, event):
         self.history.append(event)
         changed, self.changed = self.changed, trio.Event()
         changed.set()
@@ -145,9 +156,9 @@
 
     async def on_kv_txn(self, request, query):
         body = orjson.loads(request.body)
-        for row in body["expectedRev"]:
-            present = self.items.get(row["key"], {}).get("revision", 0)
-            if present != row["revision"]:
+        for condition in body["expectedRev"]:
+            revision = self.items.get(condition["key"], {}).get("revision", 0)
+            if revision != condition["revision"]:
                 return json_response({"items": []}, 412)
         for put in body["puts"]:
             if put["lease"] and put["lease"] not in self.leases:
--- a/tests/platform/harness.py
+++ b/tests/platform/harness.py
@@ -1,7 +1,8 @@
-"""The users' platform in memory: its store, engines, cloud and callers.
+"""Test harness: nodes on an in-memory platform in virtual time.
 
-It speaks the platform's wire, so that the adapter is part of what is tested,
-and it keeps book of what it sees, for the checks.
+The platform has a store, backend servers, a cloud API and callers. Nodes call
+it with the platform's protocols, so the tests cover the adapter as well. It
+records the calls that it receives, for the tests' assertions.
 """
 
 import base64
@@ -33,8 +34,8 @@
 
 
 def make_configuration(version=1, keys=(KEY,), routes=(), models=(MODEL,)):
-    """Returns a configuration as an operator writes it."""
-    usual = [
+    """Returns a configuration document as an operator writes it."""
+    base_routes = [
         {
             "name": "train",
             "host": HOST,
@@ -85,7 +86,7 @@
     ]
     return {
         "version": version,
-        "routes": [*usual, *routes],
+        "routes": [*base_routes, *routes],
         "services": [
             {
                 "name": "engines",
@@ -113,7 +114,7 @@
 
 
 class Node:
-    """A node of the product in the stand-in's world."""
+    """A node that runs on a site."""
 
     def __init__(self, site, name, zone):
         self.site = site
@@ -156,7 +157,13 @@
 
 
 class Site:
-    """A store, two zones of servers, nodes and callers, on virtual time."""
+    """A store, a cloud API, servers in two zones and nodes, in virtual time.
+
+    Attributes:
+        violations: Rules of the platform that a node has broken.
+        runs: Requests that servers have executed.
+        orders: Orders that servers have received.
+    """
 
     def __init__(self, nursery, nodes=2, plan=None):
         self.nursery = nursery
@@ -261,7 +268,7 @@
 
 @contextlib.asynccontextmanager
 async def launch(nodes=2, plan=None, is_started=True):
-    """Yields a site, and ends it behind the body."""
+    """Yields a site and stops it when the context ends."""
     async with trio.open_nursery() as nursery:
         site = Site(nursery, nodes, plan)
         if is_started:
@@ -271,7 +278,7 @@
 
 
 def make_batch(batch_id, items=4, minimum=1, step=0, scored=True, model=MODEL):
-    """Returns a batch as a trainer sends it."""
+    """Returns the body of a request with which a trainer submits a batch."""
 
     def make_item(number):
         item = {
@@ -306,5 +313,5 @@
 
 
 def text_of(length):
-    """Returns the whole text of a server's stream."""
+    """Returns the complete text of a server's stream of so many events."""
     return "\n".join(f"t{number}" for number in range(1, length + 1))
--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names stay inside its folder, which stays small."""
+"""The platform's names are used only in its adapter, which stays small."""
 
 import pathlib
 import re
@@ -7,12 +7,12 @@
 from kingcupscale.platform import names
 
 SOURCES = pathlib.Path(__file__).parents[2] / "src" / "kingcupscale"
-FOLDER = SOURCES / "platform"
-LARGEST_SHARE = 0.1
+ADAPTER = SOURCES / "platform"
+MAX_SHARE = 0.1
 
 
 def read_sources():
-    """Returns each source file's text by its path below the package."""
+    """Returns the text of each source file by its path in the package."""
     return {
         path.relative_to(SOURCES): path.read_text(encoding="utf-8")
         for path in SOURCES.rglob("*.py")
@@ -20,13 +20,13 @@
 
 
 class BoundaryTest(unittest.TestCase):
-    def test_no_name_of_the_wire_stands_outside(self):
+    def test_platform_names_are_used_only_in_the_adapter(self):
         words = {
             value
             for name, value in vars(names).items()
             if name.isupper() and isinstance(value, str) and len(value) > 8
         }
-        # Standard names that the product's own interface has as well.
+        # A standard header that is also used outside the adapter.
         words -= {names.RESUME_AFTER}
         words |= {"/kv-txn", "/kv-watch", "expectedRev", "pathPrefix"}
         found = [
@@ -38,7 +38,7 @@
         ]
         self.assertEqual(found, [])
 
-    def test_only_the_command_line_reaches_into_the_folder(self):
+    def test_only_commands_import_the_adapter(self):
         found = {
             str(path)
             for path, text in read_sources().items()
@@ -47,7 +47,7 @@
         allowed = {"commands/serving.py", "commands/deploy.py"}
         self.assertEqual(found, allowed)
 
-    def test_folder_is_small(self):
+    def test_adapter_is_small(self):
         sizes = {
             path: len(text.splitlines())
             for path, text in read_sources().items()
@@ -56,4 +56,4 @@
         inside = sum(
             size for path, size in sizes.items() if path.parts[0] == "platform"
         )
-        self.assertLess(inside, LARGEST_SHARE * sum(sizes.values()))
+        self.assertLess(inside, MAX_SHARE * sum(sizes.values()))
--- a/tests/platform/test_configurations.py
+++ b/tests/platform/test_configurations.py
@@ -1,4 +1,4 @@
-"""Configurations and keys on several nodes, under faults."""
+"""Propagation of configurations and keys to several nodes, under faults."""
 
 import random
 import unittest
@@ -27,7 +27,7 @@
         )
 
     @virtual.on_virtual_time
-    async def test_withdrawn_key_stops_on_a_node_the_store_turns_away(self):
+    async def test_nodes_without_store_access_refuse_a_withdrawn_key(self):
         async with harness.launch(nodes=3) as site:
             for node in site.nodes:
                 response = await self._quote(site, node)
@@ -42,21 +42,21 @@
                 self.assertEqual(response.status, 200)
 
     @virtual.on_virtual_time
-    async def test_node_that_hears_nobody_stops_admitting(self):
+    async def test_isolated_node_stops_admitting(self):
         async with harness.launch(nodes=3) as site:
-            alone = site.nodes[2]
-            site.network.cut_off(alone.name)
+            isolated = site.nodes[2]
+            site.network.cut_off(isolated.name)
             for server in site.servers:
-                site.network.cuts.discard(frozenset((alone.name, server)))
+                site.network.cuts.discard(frozenset((isolated.name, server)))
             await trio.sleep(10)
-            self.assertEqual((await self._quote(site, alone)).status, 503)
-            self.assertFalse(alone.runtime.is_ready())
+            self.assertEqual((await self._quote(site, isolated)).status, 503)
+            self.assertFalse(isolated.runtime.is_ready())
             site.network.heal()
             await trio.sleep(2)
-            self.assertEqual((await self._quote(site, alone)).status, 200)
+            self.assertEqual((await self._quote(site, isolated)).status, 200)
 
     @virtual.on_virtual_time
-    async def test_outage_for_all_nodes_stops_nobody(self):
+    async def test_store_outage_stops_no_node(self):
         async with harness.launch(nodes=3) as site:
             site.store.is_down = True
             await trio.sleep(30)
@@ -75,16 +75,16 @@
 
     @parameterized.parameterized.expand([(seed,) for seed in range(16)])
     @virtual.on_virtual_time
-    async def test_nodes_the_store_turns_away_follow_the_one_it_serves(
+    async def test_nodes_without_store_access_follow_the_one_with_it(
         self, seed
     ):
         async with harness.launch(nodes=3) as site:
             for node in site.nodes:
                 node.runtime.peers.rng = random.Random(f"{node.name}{seed}")
             await trio.sleep(0.13 * seed)
-            served = site.other(site.holder())
+            connected = site.other(site.holder())
             for node in site.nodes:
-                if node is not served:
+                if node is not connected:
                     site.network.cut(node.name, "store")
             oldest = 0.0
             for _ in range(200):
@@ -106,7 +106,7 @@
                 self.assertEqual(response.status, 200)
 
     @virtual.on_virtual_time
-    async def test_models_without_slots_end_no_node(self):
+    async def test_models_without_slots_crash_no_node(self):
         async with harness.launch(nodes=1, is_started=False) as site:
             configuration = harness.make_configuration()
             configuration["services"].append(
@@ -124,7 +124,7 @@
             self.assertEqual(len(await site.read_all(node)), 4)
 
     @virtual.on_virtual_time
-    async def test_forgotten_history_is_read_anew(self):
+    async def test_compacted_history_is_reread(self):
         async with harness.launch() as site:
             for node in site.nodes:
                 site.network.cut(node.name, "store")
@@ -141,38 +141,43 @@
                 self.assertNotIn("p1", node.runtime.server_registry.servers)
 
 
-class Late:
-    """Asks another in its place, and passes answers on late."""
+class DelayedClient:
+    """Forwards calls to another client and delays the responses."""
 
-    def __init__(self, other, late_s):
-        self.other = other
-        self.late_s = late_s
+    def __init__(self, client, delay_s):
+        self.client = client
+        self.delay_s = delay_s
 
     def __getattr__(self, name):
-        async def ask(*args):
-            answer = await getattr(self.other, name)(*args)
-            await trio.sleep(self.late_s)
-            return answer
+        async def call(*args):
+            response = await getattr(self.client, name)(*args)
+            await trio.sleep(self.delay_s)
+            return response
 
-        return ask
+        return call
 
 
-class OldViewTest(unittest.TestCase):
-    """Nobody is refused by a configuration that others may have replaced."""
+class StaleConfigurationTest(unittest.TestCase):
+    """A node whose configuration may be stale refuses no request by it.
 
-    STRANGE = ("/strange/1", harness.KEY)
-    ADDED = ("/added/1", harness.KEY)
-    WRONG = (harness.CALL_PATH + "1", "wrong")
-    GRANTED = (harness.CALL_PATH + "1", "granted")
-    KNOWN = (harness.CALL_PATH + "1", harness.KEY)
-    OPEN = (harness.SCORE_PATH + "1", "")
+    A newer configuration may have added the route or granted the key that the
+    node does not know. Such requests get 503 and may be retried elsewhere;
+    requests that the stale configuration allows are served.
+    """
+
+    UNKNOWN_ROUTE = ("/strange/1", harness.KEY)
+    NEW_ROUTE = ("/added/1", harness.KEY)
+    WRONG_KEY = (harness.CALL_PATH + "1", "wrong")
+    NEW_KEY = (harness.CALL_PATH + "1", "granted")
+    KNOWN_KEY = (harness.CALL_PATH + "1", harness.KEY)
+    OPEN_ROUTE = (harness.SCORE_PATH + "1", "")
     OWN_BATCH = (names.BATCHES_PATH + "b1", harness.KEY)
     OTHERS_BATCH = (names.BATCHES_PATH + "b1", "key-of-two")
-    OWN_BATCH_GRANTED = (names.BATCHES_PATH + "b1", "granted")
+    OWN_BATCH_NEW_KEY = (names.BATCHES_PATH + "b1", "granted")
     NO_BATCH = (names.BATCHES_PATH + "b0", harness.KEY)
 
-    async def _ask(self, site, node, asked):
-        path, key = asked
+    async def _send(self, site, node, target):
+        path, key = target
         return await site.call(
             node,
             "GET" if path.startswith(names.BATCHES_PATH) else "POST",
@@ -198,70 +203,72 @@
             harness.make_configuration(2, [harness.KEY, "granted"], [route])
         )
 
-    def _delay(self, node, late_s):
+    def _delay(self, node, delay_s):
         runtime = node.runtime
-        runtime.mirror.store = Late(runtime.mirror.store, late_s)
-        runtime.peers.client = Late(runtime.peers.client, late_s)
+        runtime.mirror.store = DelayedClient(runtime.mirror.store, delay_s)
+        runtime.peers.client = DelayedClient(runtime.peers.client, delay_s)
 
     @parameterized.parameterized.expand(
         [
-            ("young_strange", 0, False, STRANGE, 404),
-            ("young_added", 0, False, ADDED, 200),
-            ("young_wrong", 0, False, WRONG, 401),
-            ("young_granted", 0, False, GRANTED, 200),
-            ("young_others_batch", 0, False, OTHERS_BATCH, 404),
-            ("young_no_batch", 0, False, NO_BATCH, 404),
-            ("little_late_strange", 0.3, False, STRANGE, 404),
-            ("little_late_added", 0.3, False, ADDED, 200),
-            ("late_strange", 4, False, STRANGE, 503),
-            ("late_added", 4, False, ADDED, 503),
-            ("late_wrong", 4, False, WRONG, 503),
-            ("late_granted", 4, False, GRANTED, 503),
-            ("late_known", 4, False, KNOWN, 200),
-            ("late_open", 4, False, OPEN, 200),
-            ("late_own_batch", 4, False, OWN_BATCH, 200),
-            ("late_own_batch_granted", 4, False, OWN_BATCH_GRANTED, 503),
-            ("late_others_batch", 4, False, OTHERS_BATCH, 503),
-            ("late_no_batch", 4, False, NO_BATCH, 404),
-            ("outage_strange", 0, True, STRANGE, 503),
-            ("outage_wrong", 0, True, WRONG, 503),
-            ("outage_known", 0, True, KNOWN, 200),
-            ("outage_open", 0, True, OPEN, 200),
+            ("current_unknown_route", 0, False, UNKNOWN_ROUTE, 404),
+            ("current_new_route", 0, False, NEW_ROUTE, 200),
+            ("current_wrong_key", 0, False, WRONG_KEY, 401),
+            ("current_new_key", 0, False, NEW_KEY, 200),
+            ("current_others_batch", 0, False, OTHERS_BATCH, 404),
+            ("current_no_batch", 0, False, NO_BATCH, 404),
+            ("brief_delay_unknown_route", 0.3, False, UNKNOWN_ROUTE, 404),
+            ("brief_delay_new_route", 0.3, False, NEW_ROUTE, 200),
+            ("stale_unknown_route", 4, False, UNKNOWN_ROUTE, 503),
+            ("stale_new_route", 4, False, NEW_ROUTE, 503),
+            ("stale_wrong_key", 4, False, WRONG_KEY, 503),
+            ("stale_new_key", 4, False, NEW_KEY, 503),
+            ("stale_known_key", 4, False, KNOWN_KEY, 200),
+            ("stale_open_route", 4, False, OPEN_ROUTE, 200),
+            ("stale_own_batch", 4, False, OWN_BATCH, 200),
+            ("stale_own_batch_new_key", 4, False, OWN_BATCH_NEW_KEY, 503),
+            ("stale_others_batch", 4, False, OTHERS_BATCH, 503),
+            ("stale_no_batch", 4, False, NO_BATCH, 404),
+            ("outage_unknown_route", 0, True, UNKNOWN_ROUTE, 503),
+            ("outage_wrong_key", 0, True, WRONG_KEY, 503),
+            ("outage_known_key", 0, True, KNOWN_KEY, 200),
+            ("outage_open_route", 0, True, OPEN_ROUTE, 200),
             ("outage_own_batch", 0, True, OWN_BATCH, 200),
             ("outage_others_batch", 0, True, OTHERS_BATCH, 503),
         ]
     )
     @virtual.on_virtual_time
-    async def test_request(self, _, late_s, is_outage, asked, expected):
+    async def test_request(self, _, delay_s, is_outage, target, expected):
         async with harness.launch(nodes=3) as site:
             node = site.other(site.holder())
             await site.submit(node)
             await trio.sleep(1)
-            if late_s:
-                self._delay(node, late_s)
-            await trio.sleep(2 * late_s)
+            if delay_s:
+                self._delay(node, delay_s)
+            await trio.sleep(2 * delay_s)
             if is_outage:
                 site.store.is_down = True
             else:
                 self._change(site)
             await trio.sleep(2.5)
-            response = await self._ask(site, node, asked)
+            response = await self._send(site, node, target)
             self.assertEqual(response.status, expected, response.body)
             if expected == 503:
                 self.assertGreater(float(response.headers["retry-after"]), 0)
                 self.assertIn(b'"not_run"', response.body)
 
-    @parameterized.parameterized.expand([(STRANGE,), (WRONG,), (KNOWN,)])
+    @parameterized.parameterized.expand(
+        [(UNKNOWN_ROUTE,), (WRONG_KEY,), (KNOWN_KEY,)]
+    )
     @virtual.on_virtual_time
-    async def test_node_without_a_configuration_refuses_for_now(self, asked):
+    async def test_node_without_a_configuration_is_not_ready(self, target):
         async with harness.launch(nodes=1, is_started=False) as site:
             site.store.is_down = True
             await site.start()
-            response = await self._ask(site, site.nodes[0], asked)
+            response = await self._send(site, site.nodes[0], target)
             self.assertEqual(response.status, 503)
 
     @virtual.on_virtual_time
-    async def test_node_that_catches_up_knows_again(self):
+    async def test_node_refuses_again_after_catching_up(self):
         async with harness.launch(nodes=3) as site:
             site.store.is_down = True
             await trio.sleep(10)
@@ -269,18 +276,18 @@
             self._change(site)
             await trio.sleep(2)
             for node in site.nodes:
-                for asked, expected in (
-                    (self.STRANGE, 404),
-                    (self.WRONG, 401),
-                    (self.ADDED, 200),
-                    (self.GRANTED, 200),
+                for target, expected in (
+                    (self.UNKNOWN_ROUTE, 404),
+                    (self.WRONG_KEY, 401),
+                    (self.NEW_ROUTE, 200),
+                    (self.NEW_KEY, 200),
                 ):
-                    response = await self._ask(site, node, asked)
+                    response = await self._send(site, node, target)
                     self.assertEqual(response.status, expected)
 
     @parameterized.parameterized.expand([(1,), (3,), (10,)])
     @virtual.on_virtual_time
-    async def test_calm_nodes_are_never_in_doubt(self, count):
+    async def test_undisturbed_nodes_are_never_stale(self, count):
         async with harness.launch(nodes=count) as site:
             for _ in range(200):
                 await trio.sleep(0.1)
@@ -289,7 +296,7 @@
 
 
 class LimitsTest(unittest.TestCase):
-    """What callers may send is the operator's to say, also while nodes run."""
+    """Limits on callers' requests follow the configuration while nodes run."""
 
     @parameterized.parameterized.expand(
         [
@@ -313,7 +320,9 @@
         ]
     )
     @virtual.on_virtual_time
-    async def test_listeners_follow(self, _, written, body, head, head_s, idle):
+    async def test_listeners_apply_configured_limits(
+        self, _, written, body, head, head_s, idle
+    ):
         async with harness.launch(nodes=2) as site:
             configuration = harness.make_configuration(version=5)
             configuration["limits"] = written
--- a/tests/platform/test_spreading.py
+++ b/tests/platform/test_distribution.py
@@ -1,4 +1,4 @@
-"""Which nodes hold the duties of a large fleet, and of a small one."""
+"""Distribution of duties over the nodes of large and small fleets."""
 
 import unittest
 
@@ -15,18 +15,18 @@
 DUTIES = ("engines", *(f"engines/{model}" for model in MODELS))
 FEW = leadership.MIN_NODES_TO_DISTRIBUTE - 1
 MANY = leadership.MIN_NODES_TO_DISTRIBUTE + 1
-# The last node has started this much earlier.
-SPREAD_S = 4.0
+# Time after the last node's start within which the duties are distributed.
+DISTRIBUTION_S = 4.0
 
 
 def holders(site):
-    """Returns who holds each duty, as the store says."""
+    """Returns the holder of each duty according to the store."""
     values = [site.store.value(locks.DUTIES_PREFIX + d) for d in DUTIES]
     return [(value or b"").decode().partition(" ")[0] for value in values]
 
 
 async def open_site(nursery, nodes):
-    """Returns a site with several models, whose nodes have not started."""
+    """Returns a site with several models, whose nodes are not started."""
     site = harness.Site(nursery, nodes=nodes)
     site.write_configuration(harness.make_configuration(models=MODELS))
     site.add_server(serverstandin.Server(site, "e3", "engines", "a", MODELS[1]))
@@ -40,7 +40,7 @@
 
 
 async def submit_forever(site, accepted):
-    """Submits batches of all models wherever a node takes them."""
+    """Submits batches of all models to any node that accepts them."""
     while True:
         for model in MODELS:
             batch_id = f"b{len(accepted)}"
@@ -53,18 +53,26 @@
 
 
 class StartTest(unittest.TestCase):
-    """Load pattern: the nodes of a fleet start one after the other."""
+    """Few nodes hold all duties after the nodes of a fleet start in turn.
+
+    The nodes that start first see a small fleet and take all duties.
+    """
 
     @parameterized.parameterized.expand(
         [
-            (f"{nodes}_nodes_{pause_s}_s_apart_{order}", nodes, pause_s, step)
+            (
+                f"{nodes}_nodes_{pause_s}_s_interval_{order}",
+                nodes,
+                pause_s,
+                step,
+            )
             for nodes in (MANY, 16)
             for pause_s in (0.0, 0.02, 0.1, 0.5)
             for order, step in (("forwards", 1), ("backwards", -1))
         ]
     )
     @virtual.on_virtual_time
-    async def test_large_fleet_spreads_its_duties(
+    async def test_large_fleet_distributes_its_duties(
         self, _, nodes, pause_s, step
     ):
         async with trio.open_nursery() as nursery:
@@ -74,16 +82,18 @@
             async with trio.open_nursery() as senders:
                 senders.start_soon(submit_forever, site, accepted)
                 await start_in_turn(site, pause_s)
-                await trio.sleep(SPREAD_S)
+                await trio.sleep(DISTRIBUTION_S)
                 senders.cancel_scope.cancel()
-            spread = holders(site)
-            self.assertEqual(len({*spread} - {""}), len(DUTIES), spread)
-            self.assertGreaterEqual(len(accepted), 2 * SPREAD_S)
+            distributed = holders(site)
+            self.assertEqual(
+                len({*distributed} - {""}), len(DUTIES), distributed
+            )
+            self.assertGreaterEqual(len(accepted), 2 * DISTRIBUTION_S)
             for batch_id in accepted:
                 results = await site.read_all(site.nodes[-1], batch_id)
                 self.assertEqual(len(results), 4)
             await trio.sleep(10)
-            self.assertEqual(holders(site), spread)
+            self.assertEqual(holders(site), distributed)
             self.assertEqual(site.violations, [])
             nursery.cancel_scope.cancel()
 
@@ -91,7 +101,9 @@
         [("one", 1, 0.1), ("few", FEW, 0.1), ("few_at_once", FEW, 0.0)]
     )
     @virtual.on_virtual_time
-    async def test_small_fleet_keeps_them_together(self, _, nodes, pause_s):
+    async def test_small_fleet_keeps_its_duties_together(
+        self, _, nodes, pause_s
+    ):
         async with trio.open_nursery() as nursery:
             site = await open_site(nursery, nodes)
             nursery.start_soon(start_in_turn, site, pause_s)
@@ -105,7 +117,10 @@
 
 
 class RestartTest(unittest.TestCase):
-    """Load pattern: all nodes are killed and come back within moments."""
+    """Few nodes hold all duties after all nodes crash and restart.
+
+    The entries of the crashed nodes may still exist when the nodes return.
+    """
 
     @parameterized.parameterized.expand(
         [
@@ -117,18 +132,20 @@
         ]
     )
     @virtual.on_virtual_time
-    async def test_large_fleet_spreads_its_duties(
-        self, _, nodes, away_s, pause_s
+    async def test_large_fleet_distributes_its_duties(
+        self, _, nodes, downtime_s, pause_s
     ):
         async with trio.open_nursery() as nursery:
             site = await open_site(nursery, nodes)
             await site.start()
-            await trio.sleep(SPREAD_S)
-            await self._restart(site, away_s)
+            await trio.sleep(DISTRIBUTION_S)
+            await self._restart(site, downtime_s)
             await start_in_turn(site, pause_s)
-            await trio.sleep(SPREAD_S)
-            spread = holders(site)
-            self.assertEqual(len({*spread} - {""}), len(DUTIES), spread)
+            await trio.sleep(DISTRIBUTION_S)
+            distributed = holders(site)
+            self.assertEqual(
+                len({*distributed} - {""}), len(DUTIES), distributed
+            )
             for number, model in enumerate(MODELS):
                 await site.submit(site.nodes[0], f"b{number}", model=model)
                 results = await site.read_all(site.nodes[1], f"b{number}")
@@ -148,10 +165,10 @@
             self.assertLess(trio.current_time() - began_at, 2.5)
             nursery.cancel_scope.cancel()
 
-    async def _restart(self, site, away_s):
+    async def _restart(self, site, downtime_s):
         for node in site.nodes:
             site.network.crash(node.name)
-        await trio.sleep(away_s)
+        await trio.sleep(downtime_s)
         site.nodes = [
             harness.Node(site, node.name, node.runtime.settings.zone)
             for node in site.nodes
@@ -159,7 +176,7 @@
 
 
 class TakeoverTest(unittest.TestCase):
-    """Load pattern: nodes that hold duties are killed."""
+    """A node takes several duties after holders of duties have crashed."""
 
     @parameterized.parameterized.expand(
         [
@@ -170,18 +187,18 @@
         ]
     )
     @virtual.on_virtual_time
-    async def test_duties_lie_apart_afterwards(self, _, lost):
+    async def test_duties_are_distributed_afterwards(self, _, lost):
         async with trio.open_nursery() as nursery:
             site = await open_site(nursery, 16)
             await site.start()
-            await trio.sleep(SPREAD_S)
-            killed = {site.holder(duty).name for duty in lost}
-            for name in killed:
+            await trio.sleep(DISTRIBUTION_S)
+            crashed = {site.holder(duty).name for duty in lost}
+            for name in crashed:
                 site.network.crash(name)
-            site.nodes = [n for n in site.nodes if n.name not in killed]
-            await trio.sleep(2 * SPREAD_S)
-            spread = holders(site)
-            self.assertEqual(len({*spread} - {"", *killed}), len(DUTIES))
+            site.nodes = [n for n in site.nodes if n.name not in crashed]
+            await trio.sleep(2 * DISTRIBUTION_S)
+            distributed = holders(site)
+            self.assertEqual(len({*distributed} - {"", *crashed}), len(DUTIES))
             for number, model in enumerate(MODELS):
                 await site.submit(site.nodes[0], f"b{number}", model=model)
                 results = await site.read_all(site.nodes[1], f"b{number}")
@@ -189,11 +206,14 @@
             nursery.cancel_scope.cancel()
 
 
-class HandOnTest(unittest.TestCase):
-    """Load pattern: a fleet grows while the samples of its models run."""
+class TransferTest(unittest.TestCase):
+    """Samples start again from the beginning when a growing fleet moves them.
+
+    A single node runs them until other nodes start and take duties from it.
+    """
 
     @virtual.on_virtual_time
-    async def test_texts_go_on_where_they_were(self):
+    async def test_samples_resume_where_they_were(self):
         async with trio.open_nursery() as nursery:
             site = await open_site(nursery, MANY)
             for server in site.servers.values():
@@ -207,9 +227,9 @@
             grown_at = trio.current_time()
             for node in others:
                 nursery.start_soon(node.run)
-            await trio.sleep(SPREAD_S)
-            spread = holders(site)
-            self.assertEqual(len({*spread}), len(DUTIES), spread)
+            await trio.sleep(DISTRIBUTION_S)
+            distributed = holders(site)
+            self.assertEqual(len({*distributed}), len(DUTIES), distributed)
             moved = [run for run in site.runs if run.at > grown_at]
             self.assertLessEqual(len(moved), 8)
             for run in moved:
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Documents of others: what is taken over of them."""
+"""Decoding of documents that come from trainers."""
 
 import unittest
 
@@ -35,7 +35,7 @@
             ("other", "X-Anything", True),
         ]
     )
-    def test_headers_that_are_not_the_senders_to_set(self, _, name, is_kept):
+    def test_headers_reserved_for_nodes_are_dropped(self, _, name, is_kept):
         item = {"id": "a", "path": "/x", "body": "", "headers": {name: "1"}}
         body = orjson.dumps({"items": [item]})
         (made,) = documents.decode_batch("b", "o", ROUTE, body).items
--- a/tests/platform/test_files.py
+++ b/tests/platform/test_files.py
@@ -1,4 +1,4 @@
-"""The platform's settings file and the deploy file."""
+"""Reading of the platform's settings file and checks of the deploy file."""
 
 import pathlib
 import tempfile
@@ -37,7 +37,7 @@
         with tempfile.TemporaryDirectory() as folder:
             return settingsfile.load(write(folder, text))
 
-    def test_fields_are_taken_over_in_seconds(self):
+    def test_fields_are_converted_to_seconds(self):
         loaded = self._load()
         self.assertEqual(loaded.bounds.lease_s, 3.0)
         self.assertEqual(loaded.callers, "10.0.0.1:80")
@@ -51,7 +51,7 @@
             ("below_zero", {"bounds.graceS": "-1"}, "bounds.graceS"),
         ]
     )
-    def test_every_mistake_is_named(self, _, changes, name):
+    def test_every_problem_is_reported(self, _, changes, name):
         with self.assertRaises(settings.SettingsError) as caught:
             self._load(**changes)
         self.assertIn(name, "\n".join(caught.exception.problems))
@@ -62,11 +62,11 @@
 
 
 class DeployFileTest(unittest.TestCase):
-    def test_own_file_is_sound(self):
+    def test_own_file_is_valid(self):
         path = ROOT / "deploy" / "system.toml"
         self.assertEqual(deployfile.check(str(path)), [])
 
-    def test_requirements_are_the_package_s(self):
+    def test_requirements_match_the_package(self):
         package = settings.read_toml(str(ROOT / "pyproject.toml"))
         wanted = package["project"]["dependencies"]
         lines = (ROOT / "requirements.txt").read_text("utf-8").split()
@@ -88,7 +88,7 @@
                 "no.py",
             ),
             (
-                "nobody_for_disks",
+                "no_role_serves_store",
                 'build = "x"\n[roles.a]\nrun = "p"\non = "front"\nshare = 1\n'
                 'serves = ["front"]\n',
                 "store",
@@ -100,7 +100,7 @@
             ),
         ]
     )
-    def test_mistakes_are_named(self, _, text, word):
+    def test_problems_are_reported(self, _, text, word):
         with tempfile.TemporaryDirectory() as folder:
             problems = deployfile.check(write(folder, text))
         self.assertIn(word, "\n".join(problems))
--- a/tests/platform/test_lifecycle.py
+++ b/tests/platform/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Usage windows, planned stops and VMs that are taken away."""
+"""Usage windows, planned stops, failed nodes and retired VMs."""
 
 import unittest
 
@@ -48,7 +48,7 @@
 
 class StopTest(unittest.TestCase):
     @virtual.on_virtual_time
-    async def test_planned_stop_hands_over_and_cuts_nothing(self):
+    async def test_planned_stop_hands_over_and_drops_nothing(self):
         async with harness.launch() as site:
             leader = site.holder()
             other = site.other(leader)
@@ -69,14 +69,14 @@
             self.assertTrue(leader.runtime.stopped.is_set())
 
     @virtual.on_virtual_time
-    async def test_planned_stop_hands_over_the_last_of_all_texts(self):
+    async def test_planned_stop_hands_over_complete_texts(self):
         async with harness.launch(nodes=3) as site:
             leader = site.holder()
             for server in site.servers.values():
                 server.length = 200
             await site.submit(site.other(leader), items=6)
             await trio.sleep(2.15)
-            made = {
+            generated = {
                 run.request: (run.resumed_after or 0) + run.events
                 for run in site.runs
                 if "-i" in run.request
@@ -84,20 +84,24 @@
             leader.runtime.drain_requested.set()
             stopped_at = trio.current_time()
             await site.read_all(site.other(leader))
-            again = [
+            resumed = [
                 run
                 for run in site.runs
-                if run.at > stopped_at and run.request in made
+                if run.at > stopped_at and run.request in generated
             ]
-            self.assertEqual({run.request for run in again}, made.keys())
-            for run in again:
+            self.assertEqual({run.request for run in resumed}, generated.keys())
+            for run in resumed:
                 self.assertGreaterEqual(
-                    run.resumed_after or 0, made[run.request] - 1
+                    run.resumed_after or 0, generated[run.request] - 1
                 )
 
 
 class RollingStopTest(unittest.TestCase):
-    """Load pattern: all nodes are stopped and started in turn."""
+    """Samples pause for long when the node that runs them is stopped.
+
+    This happens in a rolling restart, if the next node starts the samples only
+    after the lease of the stopped node has ended.
+    """
 
     @parameterized.parameterized.expand(
         [
@@ -107,7 +111,7 @@
         ]
     )
     @virtual.on_virtual_time
-    async def test_samples_go_on_at_once_elsewhere(self, _, nodes, lag_s):
+    async def test_samples_resume_at_once_elsewhere(self, _, nodes, lag_s):
         async with harness.launch(nodes=nodes) as site:
             holder = site.holder(f"engines/{harness.MODEL}")
             for server in site.servers.values():
@@ -120,16 +124,20 @@
             await trio.sleep(4)
             later = [run.at for run in site.runs if run.at > stopped_at]
             self.assertLess(min(later) - stopped_at, 0.2)
-            # Nobody takes them up and lets them go again.
+            # No node starts the samples and then abandons them.
             self.assertLessEqual(len(later), 6)
 
 
 class LostHolderTest(unittest.TestCase):
-    """Load pattern: the node that runs samples is killed."""
+    """Samples pause for long, or run twice, when their node seems to fail.
+
+    After a crash another node must continue them before the lease ends. A node
+    that is alive must keep them, although its copies are lost or it was slow.
+    """
 
     @parameterized.parameterized.expand([("few_nodes", 3), ("many_nodes", 12)])
     @virtual.on_virtual_time
-    async def test_samples_go_on_soon_elsewhere(self, _, nodes):
+    async def test_samples_resume_soon_elsewhere(self, _, nodes):
         async with harness.launch(nodes=nodes) as site:
             holder = site.holder(f"engines/{harness.MODEL}")
             for server in site.servers.values():
@@ -146,8 +154,8 @@
                     self.assertGreater(run.resumed_after, 100)
 
     @virtual.on_virtual_time
-    async def test_holder_that_lives_keeps_its_samples(self):
-        """Copies that do not arrive are no reason to run them twice."""
+    async def test_live_holder_keeps_its_samples(self):
+        """Missing copies alone must not make another node run the samples."""
         async with harness.launch(nodes=12) as site:
             holder = site.holder(f"engines/{harness.MODEL}")
             for server in site.servers.values():
@@ -162,8 +170,8 @@
             self.assertEqual(len(site.runs), begun)
 
     @virtual.on_virtual_time
-    async def test_holder_that_was_slow_for_a_moment_is_left_alone(self):
-        """A question that was not answered counts until the next copy."""
+    async def test_briefly_slow_holder_keeps_its_samples(self):
+        """A failed probe counts only until the next copy arrives."""
         async with harness.launch(nodes=12) as site:
             duty = f"engines/{harness.MODEL}"
             holder = site.holder(duty)
@@ -172,9 +180,9 @@
             await site.submit(site.other(holder), items=6)
             await trio.sleep(3)
             ranking = holder.runtime.models[duty].replicator.find_target()
-            (next_one,) = (n for n in site.nodes if n.name == ranking[0])
-            peers = next_one.runtime.peers
-            # As after a question that came to nothing.
+            (successor,) = (n for n in site.nodes if n.name == ranking[0])
+            peers = successor.runtime.peers
+            # As after a probe that failed two seconds ago.
             peers.silent_since[holder.name] = trio.current_time() - 2
             await trio.sleep(2)
             self.assertFalse(peers.is_silent(holder.name))
@@ -187,15 +195,16 @@
 
 
 async def _send_nothing():
-    """Stands for copies that are lost."""
+    """Replaces the method that sends copies, so that none arrive."""
 
 
-class PresenceTest(unittest.TestCase):
+class RegistrationTest(unittest.TestCase):
     @virtual.on_virtual_time
-    async def test_entry_that_was_removed_is_written_again(self):
+    async def test_removed_entry_is_written_again(self):
         async with harness.launch() as site:
             key = locks.NODES_PREFIX + "n1"
-            # As if an earlier entry came late, under a lease that then ended.
+            # As if a delayed write of an earlier entry had replaced it, and the
+            # earlier entry's lease had then ended.
             site.store.remove(key)
             await trio.sleep(5)
             self.assertIsNotNone(site.store.value(key))
@@ -205,19 +214,19 @@
             self.assertGreater(site.store.calls["kv-keep"], renewals)
 
     @virtual.on_virtual_time
-    async def test_nodes_without_duty_seldom_renew_their_lease(self):
+    async def test_nodes_without_duty_rarely_renew_their_lease(self):
         async with harness.launch(nodes=12) as site:
             await trio.sleep(5)
             renewals = site.store.calls["kv-keep"]
             await trio.sleep(40)
             renewals = site.store.calls["kv-keep"] - renewals
-            # One a second would already be a node's usual heartbeat.
+            # One renewal a second per node would equal its usual heartbeat.
             self.assertLess(renewals / 40 / 12, 1.0)
 
 
 class SuccessionTest(unittest.TestCase):
     @virtual.on_virtual_time
-    async def test_copies_pass_over_a_successor_that_is_gone(self):
+    async def test_copies_skip_a_crashed_successor(self):
         async with harness.launch(nodes=3) as site:
             holder = site.holder()
             runtime = holder.runtime
@@ -236,7 +245,7 @@
 
 class RetirementTest(unittest.TestCase):
     @virtual.on_virtual_time
-    async def test_vm_with_a_disk_is_answered_to_be_empty(self):
+    async def test_vm_with_a_disk_is_confirmed_retired(self):
         async with harness.launch() as site:
             site.store.put(
                 names.RETIREMENTS_PREFIX + "disk-1", b'{"durationS":8}'
--- a/tests/platform/test_schedules.py
+++ b/tests/platform/test_schedules.py
@@ -1,4 +1,4 @@
-"""Whole fleets under random schedules of faults, readers at every node."""
+"""Fleets under random schedules of faults, with readers at every node."""
 
 import random
 import unittest
@@ -11,18 +11,21 @@
 from tests import virtual
 from tests.platform import harness
 
-FAULT_PAUSE_S = 1.2
-# A position that was read at one node is there at all others after this.
-SETTLE_S = 1.0
+FAULT_INTERVAL_S = 1.2
+# A result that was read at one node is readable at all others after this.
+PROPAGATION_S = 1.0
 
 
 class Schedule:
-    """Batches, readers and faults by one seed.
+    """Batches, readers and faults that are drawn from one seed.
 
     Attributes:
-        totals: Items of each batch that has not been ended.
-        seen: Results that were read, by batch; positions never change.
-        problems: What was read and must not be.
+        totals: Number of items of each batch that has not been ended.
+        seen: Results that were read, by batch. Their positions never change.
+        read_at: When each of these results was first read, by batch.
+        problems: Results and errors that readers must not get.
+        disturbed_until: Time until which a node may answer late, by node.
+        replaced: Number of nodes that were replaced.
     """
 
     def __init__(self, site, seed):
@@ -32,7 +35,7 @@
         self.read_at = {}
         self.totals = {}
         self.problems = []
-        self.troubled = {}
+        self.disturbed_until = {}
         self.replaced = 0
 
     async def submit_batches(self, count):
@@ -51,15 +54,15 @@
             await trio.sleep(self.rng.uniform(0.2, 1.0))
 
     async def end_forever(self):
-        """Ends batches of which everything has been read, as trainers do."""
+        """Ends completely read batches, as trainers do."""
         while True:
             await trio.sleep(self.rng.uniform(0.1, 0.5))
-            whole = [
+            complete = [
                 batch_id
                 for batch_id, seen in self.seen.items()
                 if len(seen) == self.totals.get(batch_id)
             ]
-            for batch_id in whole:
+            for batch_id in complete:
                 path = names.BATCHES_PATH + batch_id
                 node = self.rng.choice(self.site.nodes)
                 response = await self.site.call(node, "DELETE", path)
@@ -76,24 +79,26 @@
     async def read_once(self, batch_id, from_end):
         node = self.rng.choice(self.site.nodes)
         after = len(self.seen[batch_id]) * from_end
-        due = self._positions_due(batch_id, after)
+        expected = self._count_expected_results(batch_id, after)
         status, page = await self.site.read(node, batch_id, after, 300)
-        is_calm = self._is_calm(node)
+        is_undisturbed = self._is_undisturbed(node)
         if status in (404, 410):
             self.problems.append((status, batch_id, node.name))
         if status != 200:
             return
-        if is_calm and after + len(page["results"]) < due:
-            self.problems.append(("missing", batch_id, node.name, due))
+        if is_undisturbed and after + len(page["results"]) < expected:
+            self.problems.append(("missing", batch_id, node.name, expected))
         self._compare(batch_id, after, page["results"], node)
 
-    def _positions_due(self, batch_id, after):
+    def _count_expected_results(self, batch_id, after):
         now = trio.current_time()
-        settled = [t for t in self.read_at[batch_id] if now - t > SETTLE_S]
-        return len(settled)
+        propagated = [
+            t for t in self.read_at[batch_id] if now - t > PROPAGATION_S
+        ]
+        return len(propagated)
 
-    def _is_calm(self, node):
-        return trio.current_time() > self.troubled.get(node.name, 0.0)
+    def _is_undisturbed(self, node):
+        return trio.current_time() > self.disturbed_until.get(node.name, 0.0)
 
     def _compare(self, batch_id, after, results, node):
         known = self.seen[batch_id]
@@ -106,7 +111,7 @@
                 known.append(result)
                 self.read_at[batch_id].append(trio.current_time())
 
-    async def break_things(self, count):
+    async def inject_faults(self, count):
         faults = (
             self.replace_node,
             self.replace_leader,
@@ -116,12 +121,12 @@
             self.compact_history,
         )
         for _ in range(count):
-            await trio.sleep(FAULT_PAUSE_S)
+            await trio.sleep(FAULT_INTERVAL_S)
             await self.rng.choice(faults)()
 
-    def _trouble(self, names, seconds):
+    def _mark_disturbed(self, names, seconds):
         for name in names:
-            self.troubled[name] = trio.current_time() + seconds + 4.0
+            self.disturbed_until[name] = trio.current_time() + seconds + 4.0
 
     def _replace(self, node):
         self.site.network.crash(node.name)
@@ -131,7 +136,7 @@
         added = harness.Node(self.site, f"r{self.replaced}", zone)
         self.site.nodes.append(added)
         self.site.nursery.start_soon(added.run)
-        self._trouble([n.name for n in self.site.nodes], 0.0)
+        self._mark_disturbed([n.name for n in self.site.nodes], 0.0)
 
     async def replace_node(self):
         self._replace(self.rng.choice(self.site.nodes))
@@ -143,20 +148,20 @@
 
     async def cut_from_store(self):
         node = self.rng.choice(self.site.nodes)
-        self._trouble([node.name], 2.0)
+        self._mark_disturbed([node.name], 2.0)
         self.site.network.cut(node.name, "store")
         await trio.sleep(2.0)
         self.site.network.heal()
 
     async def cut_pair(self):
         one, two = self.rng.sample(self.site.nodes, 2)
-        self._trouble([one.name, two.name], 2.0)
+        self._mark_disturbed([one.name, two.name], 2.0)
         self.site.network.cut(one.name, two.name)
         await trio.sleep(2.0)
         self.site.network.heal()
 
     async def stop_store(self):
-        self._trouble([n.name for n in self.site.nodes], 2.0)
+        self._mark_disturbed([n.name for n in self.site.nodes], 2.0)
         self.site.store.is_down = True
         await trio.sleep(2.0)
         self.site.store.is_down = False
@@ -177,7 +182,7 @@
         ]
     )
     @virtual.on_virtual_time
-    async def test_batches_end_whole_and_read_alike(self, _, nodes, seed):
+    async def test_batches_complete_and_read_consistently(self, _, nodes, seed):
         async with trio.open_nursery() as nursery:
             site = harness.Site(nursery, nodes=nodes)
             await site.start()
@@ -190,7 +195,7 @@
                 readers.start_soon(schedule.end_forever)
                 async with trio.open_nursery() as changes:
                     changes.start_soon(schedule.submit_batches, 10)
-                    changes.start_soon(schedule.break_things, 6)
+                    changes.start_soon(schedule.inject_faults, 6)
                 await trio.sleep(4)
                 readers.cancel_scope.cancel()
             for batch_id, seen in schedule.seen.items():
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Answers of the platform's store that make no sense."""
+"""Invalid responses of the platform's store."""
 
 import contextlib
 import unittest
@@ -11,8 +11,8 @@
 from kingcupscale.web import message
 
 
-class OneAnswer:
-    """Answers every call alike."""
+class ConstantClient:
+    """An HTTP client that returns the same response to every call."""
 
     def __init__(self, status, body):
         self.response = message.Response(status, {}, body)
@@ -32,10 +32,10 @@
 BODIES = {
     "nothing": b"",
     "truncated": b'{"asOf": 1',
-    "no_map": b"[]",
+    "not_an_object": b"[]",
     "no_fields": b"{}",
-    "number_as_text": b'{"asOf":"x","revision":"x","lease":"x","items":[]}',
-    "list_as_number": b'{"asOf":1,"items":7,"events":7}',
+    "text_for_number": b'{"asOf":"x","revision":"x","lease":"x","items":[]}',
+    "number_for_list": b'{"asOf":1,"items":7,"events":7}',
     "entry_without_value": b'{"asOf":1,"items":[{}],"events":[{}]}',
 }
 
@@ -44,11 +44,13 @@
     @parameterized.parameterized.expand(
         [(f"{c}_{b}", c, b) for c in CALLS for b in BODIES]
     )
-    def test_unreadable_answer_is_an_unknown_fate(self, _, call, body):
-        async def ask():
-            client = store.PlatformStore(OneAnswer(200, BODIES[body]), "x:1")
+    def test_unreadable_answer_has_unknown_outcome(self, _, call, body):
+        async def call_store():
+            client = store.PlatformStore(
+                ConstantClient(200, BODIES[body]), "x:1"
+            )
             return await CALLS[call](client)
 
         with self.assertRaises(stores.StoreError) as caught:
-            trio.run(ask)
+            trio.run(call_store)
         self.assertTrue(caught.exception.may_have_run)
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -1,4 +1,4 @@
-"""The tables in docs/ say what the code says."""
+"""The tables in docs/ match the code."""
 
 import pathlib
 import unittest
@@ -43,7 +43,7 @@
         numbers = [member.number for member in table]
         self.assertEqual(len(numbers), len(set(numbers)))
 
-    def test_breaks_are_listed_and_fit_the_code(self):
+    def test_breaks_are_listed_and_match_the_code(self):
         listed = (DOCS / "PROMISES.md").read_text(encoding="utf-8").splitlines()
         for broken in sitebreaks.BREAKS:
             test = broken.test.removeprefix("tests.")
