--- a/src/kingcupscale/batches/scoring.py
+++ b/src/kingcupscale/batches/scoring.py
@@ -12,7 +12,7 @@
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import serverclient
 from kingcupscale.gateway import forwarder
-from kingcupscale.gateway import inbound as inbounds
+from kingcupscale.gateway import inboundrequest
 
 # Time limit of one scoring call, including the time in the queue and retries.
 # Each attempt also has the time limit of its route, which is shorter.
@@ -58,11 +58,11 @@
         while sample.result is None:
             try:
                 self.guard.check(sample)
-                answer = await self.forwarder.forward(
-                    self._score_call(sample, scorer)
+                response = await self.forwarder.forward(
+                    self._make_call(sample, scorer)
                 )
-                score = answer.signature if answer.status < 300 else ""
-            except serverclient.WithdrawnError:
+                score = response.signature if response.status < 300 else ""
+            except serverclient.NotSentError:
                 await self.clock.sleep(RETRY_PAUSE_S)
                 continue
             except errors.ServiceError as e:
@@ -77,18 +77,19 @@
             if score:
                 self.on_scored(sample, score)
             else:
-                self._record_score_failure(sample, answer.status)
+                self._record_score_failure(sample, response.status)
                 await self.clock.sleep(RETRY_PAUSE_S)
 
     def _record_score_failure(
         self, sample: samples.Sample, status: int
     ) -> None:
+        """Counts a response without a score; fails a sample with too many."""
         sample.score_failures += 1
         events.log(
             events.Event.SCORING_FAILED,
             item=sample.id,
             request=sample.item.scorer.id if sample.item.scorer else "",
-            reason=f"status {status}",
+            reason=f"no score in the response, status {status}",
             failures=sample.score_failures,
         )
         scorer = sample.item.scorer
@@ -99,10 +100,10 @@
         if route and sample.score_failures >= route.max_attempts:
             self.on_failed(sample, "scoring call failed at every attempt")
 
-    def _score_call(
+    def _make_call(
         self, sample: samples.Sample, scorer: batches.Scorer
-    ) -> inbounds.Inbound:
-        return inbounds.Inbound(
+    ) -> inboundrequest.InboundRequest:
+        return inboundrequest.InboundRequest(
             request_id=scorer.id,
             method="POST",
             host=scorer.host,
@@ -111,8 +112,8 @@
             headers={},
             body=scorer.body,
             key="",
-            patience_s=CALL_TIMEOUT_S,
+            timeout_s=CALL_TIMEOUT_S,
             received_at=self.clock.monotonic(),
             is_background=True,
-            check=functools.partial(self.guard.check, sample),
+            before_send=functools.partial(self.guard.check, sample),
         )
--- a/src/kingcupscale/batches/sendguard.py
+++ b/src/kingcupscale/batches/sendguard.py
@@ -19,16 +19,14 @@
     def check(self, sample: samples.Sample) -> None:
         """Checks that a request of a sample may be sent.
 
-        Must be called once the request's connection is open, because the
-        batch may end or the view may become too old while it is opened.
+        To be called when the request's connection is open: until then, the
+        batch may end or the view may become too old.
 
         Raises:
-            WithdrawnError: If the batch has ended, or may have ended without
+            NotSentError: If the batch has ended, or may have ended without
                 this node knowing.
         """
         if not sample.record.is_open():
-            raise serverclient.WithdrawnError("the batch has ended")
+            raise serverclient.NotSentError("the batch has ended")
         if not self.view.is_current():
-            raise serverclient.WithdrawnError(
-                "the view of the store is too old"
-            )
+            raise serverclient.NotSentError("the view of the store is too old")
--- a/src/kingcupscale/platform/process.py
+++ b/src/kingcupscale/platform/process.py
@@ -155,7 +155,7 @@
         settings, clients, clocks.SystemClock(), random.Random()
     )
     handler = make_frontend(runtime)
-    internal_limits = limits.fixed(limits.Limits(body_bytes=PEER_BODY_BYTES))
+    internal_limits = limits.constant(limits.Limits(body_bytes=PEER_BODY_BYTES))
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_drain_on_signal, runtime, path)
         await nursery.start(
--- a/tests/platform/test_lifecycle.py
+++ b/tests/platform/test_lifecycle.py
@@ -183,9 +183,9 @@
             (successor,) = (n for n in site.nodes if n.name == ranking[0])
             peers = successor.runtime.peers
             # As after a probe that failed two seconds ago.
-            peers.silent_since[holder.name] = trio.current_time() - 2
+            peers.unresponsive_since[holder.name] = trio.current_time() - 2
             await trio.sleep(2)
-            self.assertFalse(peers.is_silent(holder.name))
+            self.assertFalse(peers.is_unresponsive(holder.name))
             active = [
                 node.name
                 for node in site.nodes
@@ -230,7 +230,7 @@
         async with harness.launch(nodes=3) as site:
             holder = site.holder()
             runtime = holder.runtime
-            name, _ = runtime.peers.successor(
+            name, _ = runtime.peers.first_reachable(
                 runtime.candidates.ranking("engines")
             )
             site.network.crash(name)
