--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -31,8 +31,7 @@
 from kingcupscale.storage import view as views
 
 # Longest pause of the run loop while samples are open, and otherwise. New
-# batches wake the loop; the pause is for changes that do not, such as times
-# that pass.
+# batches wake the loop; the pause limits the delay of changes that do not.
 TICK_S = 0.05
 IDLE_TICK_S = 0.5
 # Pause before a sample runs again after an unexpected internal error.
@@ -456,6 +455,7 @@
             )
 
     async def _run_sample(self, assignment: placement.Assignment) -> None:
+        """Runs a sample once, and has its text scored if it is complete."""
         sample, server = assignment.sample, assignment.server
         is_complete = False
         with sample.scope:
--- a/src/kingcupscale/batches/sample.py
+++ b/src/kingcupscale/batches/sample.py
@@ -129,10 +129,7 @@
         return True
 
     def exceeds_token_limit(self) -> bool:
-        """Tells whether its text has more events than allowed tokens.
-
-        Each event holds at least one token.
-        """
+        """Tells whether its text has more events than it may have tokens."""
         return 0 < self.item.tokens < len(self.events)
 
     def seconds_per_event(self, now: float) -> float:
--- a/src/kingcupscale/batches/weights.py
+++ b/src/kingcupscale/batches/weights.py
@@ -46,9 +46,9 @@
 ) -> dict[str, set[str]]:
     """Returns the ids of the engines of each model.
 
-    Changes as few assignments as possible. A node that has just taken over
-    the duty has no current assignment. It prefers engines whose weights are
-    recent enough, so that few engines have to load.
+    Changes few assignments. A node that has just taken over the duty has no
+    current assignments; engines whose weights are recent enough are preferred
+    then, so that few engines have to load.
 
     Args:
         servers: Engines that accept work.
