--- a/src/kingcupscale/batches/sendguard.py
+++ b/src/kingcupscale/batches/sendguard.py
@@ -19,8 +19,8 @@
     def check(self, sample: samples.Sample) -> None:
         """Checks that a request of a sample may be sent.
 
-        To be called when the request's connection is open, because the batch
-        may end or the view may become too old while it is being opened.
+        To be called when the request's connection is open: until then, the
+        batch may end or the view may become too old.
 
         Raises:
             NotSentError: If the batch has ended, or may have ended without
