--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -43,8 +43,8 @@
     Break(
         "no result is missed by a node that takes a copy",
         "batches/fetching.py",
-        "if copy is None or copy.revision < revision:",
-        "if copy is None:",
+        "if snapshot is None or snapshot.revision < revision:",
+        "if snapshot is None:",
         CACHE,
     ),
     Break(
--- a/src/kingcupscale/batches/cache.py
+++ b/src/kingcupscale/batches/cache.py
@@ -29,7 +29,7 @@
 MIRROR_STALE_S = 0.7
 # Minimum time between two restarts of the long poll for a wider interest. It is
 # longer than a long poll takes that finds no change.
-MIN_RESTART_INTERVAL_S = 1.0
+MIN_RESTART_S = 1.0
 
 
 @attrs.frozen
@@ -60,7 +60,7 @@
 
     A chunk of results is written on condition that no chunk starts at its
     position yet. A writer knows all results before its position, so a result
-    gets one position and a position one result, even with several writers.
+    gets one position and a position one result, whoever writes.
 
     Args:
         mirror: The mirror of the store.
@@ -79,9 +79,9 @@
         reload_count: How often changes may have been missed because the mirror
             was reloaded.
         waiting_readers: Number of readers that wait for a result.
-        received_parts: Parts of specifications that are not complete yet, by
+        waiting_parts: Parts of specifications that are not complete yet, by
             batch id and part number.
-        on_change: Called when a record is added or a batch has ended.
+        on_change: Called when a batch is added or ended.
     """
 
     def __init__(
@@ -107,8 +107,8 @@
         self.pending_loads: dict[str, PendingLoad] = {}
         self.reload_count = 0
         self.waiting_readers = 0
-        self.received_parts: dict[str, dict[str, bytes]] = {}
-        self.follow_restarted_at = -MIN_RESTART_INTERVAL_S
+        self.waiting_parts: dict[str, dict[str, bytes]] = {}
+        self.restarted_at = -MIN_RESTART_S
         self.on_change: Callable[[], None] = _ignore
         mirror.exclude_prefix(records.RESULTS_PREFIX)
         mirror.defer_prefix(records.PREFIX)
@@ -119,7 +119,7 @@
     def set_interest(self, everything: bool, models: frozenset[str]) -> None:
         """Sets what to cache besides the batches that clients read here."""
         before = self.interest
-        self._apply_interest(everything, models)
+        self._set_interest(everything, models)
         if (everything and not before.everything) or models - before.models:
             self.load_candidates |= {
                 batch_id
@@ -132,7 +132,7 @@
         known = self.summaries.get(batch_id)
         return known.model if known else None
 
-    def _apply_interest(self, everything: bool, models: frozenset[str]) -> None:
+    def _set_interest(self, everything: bool, models: frozenset[str]) -> None:
         single = frozenset()
         if not everything:
             single = frozenset(self.last_read_at) | frozenset(
@@ -142,22 +142,19 @@
         is_wider = new.is_wider_than(self.interest)
         self.interest = new
         now = self.clock.monotonic()
-        if (
-            is_wider
-            and now - self.follow_restarted_at >= MIN_RESTART_INTERVAL_S
-        ):
+        if is_wider and now - self.restarted_at >= MIN_RESTART_S:
             # The running long poll may omit values that are needed now, and
             # which then have to be read from the store. But a long poll that
             # is restarted again and again would never be answered.
-            self.follow_restarted_at = now
+            self.restarted_at = now
             self.mirror.restart_follow()
 
     def update_interest(self) -> None:
         """Updates the interest with the batches that are read or loaded now."""
-        self._apply_interest(self.interest.everything, self.interest.models)
+        self._set_interest(self.interest.everything, self.interest.models)
 
     def batch_ids(self) -> list[str]:
-        """Returns the ids of all batches in the mirror of the store."""
+        """Returns all batches that the store is known to hold."""
         suffix = f"/{records.SPECIFICATION}/0"
         return [
             entry.key.removeprefix(records.PREFIX).removesuffix(suffix)
@@ -201,12 +198,12 @@
         self.mirror.discard_value(entry.key)
         if not entry.value or batch_id in self.records:
             return
-        parts = self.received_parts.setdefault(batch_id, {})
+        parts = self.waiting_parts.setdefault(batch_id, {})
         parts[number] = entry.value
         record = decoding.decode_entry(entry, lambda _: records.assemble(parts))
         if record is None:
             return
-        del self.received_parts[batch_id]
+        del self.waiting_parts[batch_id]
         model = record.batch.model
         self.summaries[batch_id] = BatchSummary(record.submitted_ms, model)
         # Ending a batch rewrites its specification, long after the results.
@@ -272,7 +269,7 @@
         """
         if new.id in self.records:
             return False
-        self._touch(new.id)
+        self._note_read(new.id)
         now_ms = int(self.clock.now().timestamp() * 1000)
         transaction = transactions.make_acceptance(new, now_ms, self.part_bytes)
         reload_count = self.reload_count
@@ -288,7 +285,7 @@
                 self._apply_batch_entry(stores.Entry(put.key, put.value, 0))
         return is_new
 
-    def _touch(self, batch_id: str) -> None:
+    def _note_read(self, batch_id: str) -> None:
         self.last_read_at[batch_id] = self.clock.monotonic()
         self.update_interest()
 
@@ -304,7 +301,7 @@
             record = await self.load(batch_id, is_read=True)
         if record is None or record.batch.organisation != organisation:
             raise errors.ServiceError(errors.ResultCode.BATCH_UNKNOWN)
-        self._touch(batch_id)
+        self._note_read(batch_id)
         return record
 
     async def load(
--- a/src/kingcupscale/batches/fetching.py
+++ b/src/kingcupscale/batches/fetching.py
@@ -1,4 +1,8 @@
-"""Where a whole batch is had from: a node that knows it, or the store."""
+"""Fetches batches from another node or from the store.
+
+``BatchFetcher`` loads whole batches and refreshes records that may lack
+results.
+"""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -12,22 +16,22 @@
 from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 
-# Time for a node that is followed to tell that nothing is missing.
-REFRESH_S = 2.5
+# Time-out for the followed node to confirm that the mirror is current.
+MAX_REFRESH_S = 2.5
 RETRY_AFTER_S = 0.5
 
-# Returns another node's copy of a batch, if one has it.
+# Returns another node's snapshot of a batch, or None if no node has one.
 FetchSnapshot = Callable[[str], Awaitable[records.RecordSnapshot | None]]
 
 
 class BatchFetcher:
-    """Gets batches, and brings them up to date.
+    """Loads batches and refreshes their records.
 
     Args:
         mirror: The mirror of the store.
-        store: Where batches are written.
-        clock: Tells the time.
-        fetch_copy: Asks other nodes for a batch.
+        store: The store.
+        clock: Clock for time-outs.
+        fetch_snapshot: Fetches a snapshot of a batch from another node.
     """
 
     def __init__(
@@ -45,52 +49,53 @@
     async def fetch(
         self, batch_id: str, asks_nodes: bool
     ) -> records.Record | None:
-        """Returns a batch; None if it does not exist.
+        """Returns the record of a batch, or None if it does not exist.
 
         Args:
-            batch_id: The batch.
-            asks_nodes: Whether another node's copy will do.
+            batch_id: Id of the batch.
+            asks_nodes: Whether a snapshot from another node may be used.
 
         Raises:
-            ServiceError: ``STORE_UNAVAILABLE``.
+            ServiceError: ``STORE_UNAVAILABLE`` if neither the store nor another
+                node has answered.
         """
         if asks_nodes:
-            copy = await self._fetch_current_copy(batch_id)
-            if copy is not None:
-                return copy
+            record = await self._fetch_current(batch_id)
+            if record is not None:
+                return record
         try:
-            return await self._scan(batch_id)
+            return await self._read_from_store(batch_id)
         except stores.StoreError as e:
             reason = e.reason
-        if asks_nodes and await self._is_refreshed_by_followed_node():
+        if asks_nodes and await self._wait_for_current_mirror():
             key = records.batch_key(batch_id, records.SPECIFICATION, "0")
             if key not in self.mirror.entries:
                 return None
-            copy = await self._fetch_current_copy(batch_id)
-            if copy is not None:
-                return copy
+            record = await self._fetch_current(batch_id)
+            if record is not None:
+                return record
         raise errors.ServiceError(
             errors.ResultCode.STORE_UNAVAILABLE,
             reason,
             retry_after_s=RETRY_AFTER_S,
         )
 
-    async def _fetch_current_copy(self, batch_id: str) -> records.Record | None:
-        """Returns another node's state, if it is as new as the mirror."""
+    async def _fetch_current(self, batch_id: str) -> records.Record | None:
+        """Returns another node's record if it is as new as the mirror."""
         key = records.batch_key(batch_id, records.SPECIFICATION, "0")
         if key not in self.mirror.entries:
             return None
         revision = self.mirror.revision
-        copy = await self.fetch_snapshot(batch_id)
-        if copy is None or copy.revision < revision:
+        snapshot = await self.fetch_snapshot(batch_id)
+        if snapshot is None or snapshot.revision < revision:
             return None
-        return records.from_snapshot(copy)
+        return records.from_snapshot(snapshot)
 
-    async def _scan(self, batch_id: str) -> records.Record | None:
-        """Reads a batch from the store; None if there is none."""
+    async def _read_from_store(self, batch_id: str) -> records.Record | None:
+        """Reads a batch from the store; returns None if it does not exist."""
         parts: dict[str, bytes] = {}
         is_ended = False
-        for entry in await self._head_entries(batch_id):
+        for entry in await self._read_batch_entries(batch_id):
             kind, _, number = entry.key.rpartition("/")
             if kind.endswith("/" + records.SPECIFICATION):
                 parts[number] = entry.value or b""
@@ -104,19 +109,20 @@
             record.mark_ended()
         return record
 
-    async def _head_entries(self, batch_id: str) -> list[stores.Entry]:
-        """Returns a batch's end and specification, both of one state."""
+    async def _read_batch_entries(self, batch_id: str) -> list[stores.Entry]:
+        """Returns a batch's end and specification parts at one revision."""
         prefix = records.batch_key(batch_id, "")
         found = await self.entries(prefix)
         has_end = any(e.key == prefix + records.END for e in found)
         if has_end or all(e.created == e.revision for e in found):
             return found
-        # The end came between two pages; its key is on the first one, and
-        # nothing is written behind it.
+        # The batch was ended after its first page was read, which would hold
+        # the end. Nothing is written after the end, so that a second scan is
+        # consistent.
         return await self.entries(prefix)
 
     async def entries(self, prefix: str, after: str = "") -> list[stores.Entry]:
-        """Returns all entries under a prefix, past a key, from the store.
+        """Returns all entries in the store under a prefix and after a key.
 
         Raises:
             StoreError: If the store cannot be reached.
@@ -131,12 +137,15 @@
         return found
 
     async def refresh(self, record: records.Record) -> None:
-        """Brings a batch up to date with the store itself.
+        """Reads the results that a record lacks.
+
+        They are read from the store, or from another node if the store cannot
+        be reached.
 
         Raises:
-            ServiceError: ``STORE_UNAVAILABLE``.
+            ServiceError: ``STORE_UNAVAILABLE`` if neither has answered.
         """
-        # What changes from here on is heard of, unless a miss is noted.
+        # Later changes are received, unless missed_updates is incremented.
         missed_updates = record.missed_updates
         try:
             await self._read_results(record)
@@ -145,17 +154,17 @@
             return
         except stores.StoreError as e:
             reason = e.reason
-        if not await self._is_refreshed_by_followed_node():
+        if not await self._wait_for_current_mirror():
             raise errors.ServiceError(
                 errors.ResultCode.STORE_UNAVAILABLE,
                 reason,
                 retry_after_s=RETRY_AFTER_S,
             )
         if not record.is_current:
-            await self._take_copy(record)
+            await self._apply_snapshot(record)
 
     async def _read_results(self, record: records.Record) -> None:
-        """Reads the results that a record lacks from the store."""
+        """Adds the results that a record lacks, read from the store."""
         prefix = f"{records.RESULTS_PREFIX}{record.batch.id}/"
         after = ""
         if record.results:
@@ -165,27 +174,31 @@
             first = int(entry.key.removeprefix(prefix))
             record.add_encoded_chunk(first, entry.value or b"")
 
-    async def _take_copy(self, record: records.Record) -> None:
-        """Adds what another node has listed.
+    async def _apply_snapshot(self, record: records.Record) -> None:
+        """Adds the results that another node has.
 
         Raises:
-            ServiceError: ``STORE_UNAVAILABLE`` if none can tell.
+            ServiceError: ``STORE_UNAVAILABLE`` if no node has a current
+                snapshot.
         """
         missed_updates = record.missed_updates
-        copy = await self._fetch_current_copy(record.batch.id)
-        if copy is None:
+        snapshot = await self._fetch_current(record.batch.id)
+        if snapshot is None:
             raise errors.ServiceError(
                 errors.ResultCode.STORE_UNAVAILABLE, retry_after_s=RETRY_AFTER_S
             )
         known = len(record.results)
-        record.add_chunk(known, copy.results[known:])
+        record.add_chunk(known, snapshot.results[known:])
         if record.missed_updates == missed_updates:
             record.is_current = True
 
-    async def _is_refreshed_by_followed_node(self) -> bool:
-        """Waits a little for the mirror to become current by another node."""
+    async def _wait_for_current_mirror(self) -> bool:
+        """Waits until another node has confirmed that the mirror is current.
+
+        Returns False if none has after ``MAX_REFRESH_S``.
+        """
         asked_at = self.clock.monotonic()
-        with trio.move_on_after(REFRESH_S):
+        with trio.move_on_after(MAX_REFRESH_S):
             while self.mirror.current_at < asked_at:
                 await self.mirror.changed.wait()
             return True
