--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -90,7 +90,7 @@
         "return self.clock.monotonic() < self.ends_at - safety_s",
         "return self.lease != stores.NO_LEASE",
         SITE + "test_versions.VersionTest"
-        ".test_paused_holder_gives_no_order_after_its_lease",
+        ".test_isolated_holder_gives_no_order_after_its_lease",
     ),
     Break(
         "a withdrawn key ends on a node that hears nobody",
