--- a/src/kingcupscale/fakes/cluster.py
+++ b/src/kingcupscale/fakes/cluster.py
@@ -102,7 +102,7 @@
         self.network = networks.Network(nursery, plan)
         self.network.on_store_down = self.take_store_down
         self.network.on_crash = self._restart_soon
-        self.http_client = networks.MemoryExchanger(self.network, OUTSIDE)
+        self.http_client = networks.MemoryHttpClient(self.network, OUTSIDE)
         self.record = judge.Record(sample.FRESHNESS_VERSIONS)
         self.operator_key = keys.make_key("operator")
         self.nodes: dict[str, RunningNode] = {}
@@ -141,7 +141,7 @@
         world = worlds.World(
             self.clock,
             self.tables,
-            networks.MemoryExchanger(self.network, "engines"),
+            networks.MemoryHttpClient(self.network, "engines"),
             "weights:80",
             self._launch,
             self.size.engine_speed,
@@ -201,7 +201,7 @@
         scope = trio.CancelScope()
         service = transport.PeerService()
         surroundings = nodes.Surroundings(
-            networks.MemoryExchanger(self.network, name),
+            networks.MemoryHttpClient(self.network, name),
             networks.MemoryPeerTransport(self.network, name),
             self.clock,
             random.Random(f"{self.size.seed}/{name}"),
--- a/src/kingcupscale/fakes/network.py
+++ b/src/kingcupscale/fakes/network.py
@@ -154,7 +154,7 @@
         self.heal()
 
 
-class MemoryExchanger:
+class MemoryHttpClient:
     """Carries a process's HTTP requests over the network.
 
     Args:
--- a/tests/platform/harness.py
+++ b/tests/platform/harness.py
@@ -135,7 +135,7 @@
             orders_servers=False,
             bounds=deployment.Bounds(),
         )
-        client = networks.MemoryExchanger(site.network, name)
+        client = networks.MemoryHttpClient(site.network, name)
         self.runtime = process.make_runtime(
             settings,
             process.HttpClients(client, client, client, client),
--- a/tests/platform/test_lease_expiry.py
+++ b/tests/platform/test_lease_expiry.py
@@ -26,7 +26,7 @@
 CHECKED_S = 1.2
 
 
-class SlowExchanger:
+class SlowHttpClient:
     """Opens a connection late, and notes what leaves on it."""
 
     def __init__(self, delay_s):
@@ -89,7 +89,7 @@
         tenure = _make_tenure(clock)
         await trio.sleep(CHECKED_S)
         self.assertTrue(tenure.is_held())
-        http_client = SlowExchanger(delay_s)
+        http_client = SlowHttpClient(delay_s)
         failures = (
             windows.ReportError,
             fleetsize.OrderError,
--- a/tests/storage/test_relay.py
+++ b/tests/storage/test_relay.py
@@ -20,7 +20,7 @@
     return None
 
 
-class HandlerExchanger:
+class HandlerHttpClient:
     """Carries calls to one handler."""
 
     def __init__(self, handler):
@@ -56,7 +56,7 @@
         )
         mirror.current_at = 0.0
         client = relay.HttpRelayClient(
-            HandlerExchanger(relay.RelayHandler(mirror, NoBatches()))
+            HandlerHttpClient(relay.RelayHandler(mirror, NoBatches()))
         )
 
         async def change():
@@ -88,7 +88,7 @@
         mirror.current_at = 0.0
         mirror.revision = 9
         client = relay.HttpRelayClient(
-            HandlerExchanger(relay.RelayHandler(mirror, NoBatches()))
+            HandlerHttpClient(relay.RelayHandler(mirror, NoBatches()))
         )
 
         async def change():
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -32,7 +32,7 @@
 
     def make_client(self, name):
         self.network.add(name, lambda: None)
-        http_client = networks.MemoryExchanger(self.network, name)
+        http_client = networks.MemoryHttpClient(self.network, name)
         return keyvalue.HttpKeyValueStore(http_client, "kv:80")
 
     def make_lease(self, name):
