--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -110,7 +110,7 @@
     Break(
         "no batch is hidden by an old configuration",
         "gateway/callerservice.py",
-        "if doubt and is_there and e.code is errors.ResultCode.BATCH_UNKNOWN:",
+        "if stale and is_known and e.code is errors.ResultCode.BATCH_UNKNOWN:",
         "if False:",
         SITE + "test_configurations.OldViewTest",
     ),
@@ -549,7 +549,7 @@
     Break(
         "calls that are given up teach how long answers take",
         "gateway/forwarder.py",
-        "self._learn_latency(state.service, limit_s)",
+        "self._update_latency(state.service, timeout_s)",
         "pass",
         SITE + "test_overload",
     ),
--- a/src/kingcupscale/gateway/__init__.py
+++ b/src/kingcupscale/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Calls passed on to backend servers: placement, retries, refusals."""
+"""Proxies calls to backend servers: load balancing, retries, rejections."""
--- a/src/kingcupscale/gateway/admission.py
+++ b/src/kingcupscale/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Who may send what: routes and keys by the configuration in force."""
+"""Admission of requests: routing and authentication by configuration."""
 
 from collections.abc import Callable
 
@@ -6,16 +6,17 @@
 from kingcupscale.fleet import catalogue
 from kingcupscale.gateway import inboundrequest
 
-# A node without a configuration has started just now.
+# A node has no configuration only for a moment after its start.
 NOT_READY_RETRY_S = 0.5
 
 
 class Admission:
-    """Finds routes and organisations.
+    """Finds the route of a request and authenticates its organisation.
 
     Args:
         current_catalogue: Returns the configuration in force.
-        find_staleness_error: Returns why it justifies no refusal now, or None.
+        find_staleness_error: Returns an error if the configuration may be too
+            old to reject requests by, or None.
     """
 
     def __init__(
@@ -32,8 +33,8 @@
         """Returns a request's route and organisation.
 
         Raises:
-            ServiceError: If there is no route, or the key gives no access, or
-                that can't be known.
+            ServiceError: If there is no route, the key gives no access, or
+                the configuration may be too old to tell.
         """
         configured = self._configured()
         route = configured.find_route(inbound.host, inbound.path)
@@ -44,10 +45,14 @@
     def authenticate(
         self, route: catalogue.Route | None, key: str
     ) -> catalogue.Organisation | None:
-        """Returns the organisation that holds a key; None on open routes.
+        """Returns the organisation of a key; None if no key is required.
+
+        No key is required on open routes, and while the configuration has no
+        organisations.
 
         Raises:
-            ServiceError: ``KEY_REFUSED``, or that this can't be known.
+            ServiceError: ``KEY_REFUSED``, or the staleness error if the
+                configuration may be too old to tell.
         """
         is_open = route is not None and route.is_open
         configured = self._configured()
@@ -59,7 +64,11 @@
         return organisation
 
     def make_refusal(self, code: errors.ResultCode) -> errors.ServiceError:
-        """Returns a refusal by the configuration, or why there is none."""
+        """Returns an error that rejects a request by the configuration.
+
+        If the configuration may be too old, it is the staleness error instead,
+        because a newer configuration may admit the request.
+        """
         return self.find_staleness_error() or errors.ServiceError(code)
 
     def _configured(self) -> catalogue.Catalogue:
--- a/src/kingcupscale/gateway/callerservice.py
+++ b/src/kingcupscale/gateway/callerservice.py
@@ -1,4 +1,4 @@
-"""What callers ask of a node: single calls and batches."""
+"""The service that callers use: single calls and batches."""
 
 from collections.abc import Callable
 
@@ -14,22 +14,25 @@
 from kingcupscale.gateway import inboundrequest
 from kingcupscale.web import message
 
-# A sender is answered this long before it stops waiting.
-ANSWER_MARGIN_S = 0.3
-# The longest that a batch waits for the store; outages often end sooner, and
-# its sender would only come back to another node before the same store.
-STORE_PATIENCE_S = 7.0
+# The response is sent this long before the caller's deadline, so that it
+# arrives in time.
+RESPONSE_MARGIN_S = 0.3
+# Longest wait for the store when a batch is submitted or ended. Outages often
+# end sooner, and a caller that was rejected would only retry at another node,
+# which uses the same store.
+STORE_TIMEOUT_S = 7.0
 
 
 class CallerService:
-    """Answers callers.
+    """Serves single calls and batches of authenticated callers.
 
     Args:
-        admission: Finds routes and organisations.
-        forward: Passes single calls on.
+        admission: Finds routes and authenticates organisations.
+        forward: Forwards single calls to backend servers.
         batch_cache: The batches.
-        clock: Tells the time.
-        find_refusal: Returns why the node takes nothing now, or None.
+        clock: The clock.
+        find_not_ready_error: Returns why the node admits no requests now, or
+            None.
     """
 
     def __init__(
@@ -38,23 +41,23 @@
         forward: forwarder.Forwarder,
         batch_cache: caches.BatchCache,
         clock: clocks.Clock,
-        find_refusal: Callable[[], errors.ServiceError | None],
+        find_not_ready_error: Callable[[], errors.ServiceError | None],
     ) -> None:
         self.admission = admission
         self.forwarder = forward
         self.batch_cache = batch_cache
         self.clock = clock
-        self.find_refusal = find_refusal
+        self.find_not_ready_error = find_not_ready_error
 
-    def check_admission(self) -> None:
-        """Refuses everything while the node may not take work.
+    def check_ready(self) -> None:
+        """Checks that the node admits requests now.
 
         Raises:
-            ServiceError: With the reason.
+            ServiceError: If it does not, with the reason.
         """
-        refusal = self.find_refusal()
-        if refusal is not None:
-            raise refusal
+        error = self.find_not_ready_error()
+        if error is not None:
+            raise error
 
     def admit(
         self, inbound: inboundrequest.InboundRequest
@@ -62,28 +65,30 @@
         """Returns a request's route and organisation.
 
         Raises:
-            ServiceError: If the node, the route or the key do not allow it.
+            ServiceError: If the node is not ready, there is no route, or the
+                key gives no access.
         """
-        self.check_admission()
+        self.check_ready()
         return self.admission.admit(inbound)
 
     async def call(
         self, inbound: inboundrequest.InboundRequest
     ) -> message.Response:
-        """Returns the answer to a single call.
+        """Returns the response to a single call.
 
         Raises:
-            ServiceError: If there is none.
+            ServiceError: If no backend server responds in time.
         """
         return await self.forwarder.forward(inbound)
 
     async def submit_batch(
         self, new: batches.Batch, inbound: inboundrequest.InboundRequest
     ) -> None:
-        """Keeps a batch for good.
+        """Stores a new batch; submitting it again changes nothing.
 
         Raises:
-            ServiceError: If it is of no use, or not surely kept.
+            ServiceError: If the batch is invalid, belongs to another
+                organisation, or may not have been stored.
         """
         problem = new.find_problem()
         if problem is not None:
@@ -91,8 +96,8 @@
         known = self.batch_cache.records.get(new.id)
         if known and known.batch.organisation != new.organisation:
             raise self.admission.make_refusal(errors.ResultCode.BATCH_UNKNOWN)
-        patience_s = min(STORE_PATIENCE_S, inbound.timeout_s - ANSWER_MARGIN_S)
-        is_new = await self.batch_cache.accept(new, patience_s)
+        timeout_s = min(STORE_TIMEOUT_S, inbound.timeout_s - RESPONSE_MARGIN_S)
+        is_new = await self.batch_cache.accept(new, timeout_s)
         events.log(
             events.Event.BATCH_ACCEPTED,
             batch=new.id,
@@ -107,29 +112,31 @@
         """Returns a batch that a key gives access to.
 
         Raises:
-            ServiceError: If there is none, or that cannot be known.
+            ServiceError: If there is none, or the configuration may be too
+                old to tell.
         """
-        self.check_admission()
+        self.check_ready()
         organisation = self.admission.authenticate(None, key)
         name = organisation.name if organisation else ""
-        # As of when the key was looked up, not of when the batch was found.
-        doubt = self.admission.find_staleness_error()
+        # Taken here, because it has to match the configuration by which the
+        # key was looked up; finding the batch may take a while.
+        stale = self.admission.find_staleness_error()
         try:
             return await self.batch_cache.find(batch_id, name)
         except errors.ServiceError as e:
-            is_there = batch_id in self.batch_cache.records
-            if doubt and is_there and e.code is errors.ResultCode.BATCH_UNKNOWN:
-                raise doubt from None
+            is_known = batch_id in self.batch_cache.records
+            if stale and is_known and e.code is errors.ResultCode.BATCH_UNKNOWN:
+                raise stale from None
             raise
 
     async def read_results(
         self, record: records.Record, after: int, wait_s: float
     ) -> list[batches.Result]:
-        """Returns results from a position on, waiting for the first."""
+        """Returns results from a position on, waiting for the first one."""
         return await self.batch_cache.read(record, after, wait_s)
 
     def find_item_body(self, record: records.Record, item_id: str) -> bytes:
-        """Returns the body of an item, until its batch is ended.
+        """Returns the body of an item of a batch that has not ended.
 
         Raises:
             ServiceError: ``ITEM_UNKNOWN``.
@@ -139,16 +146,14 @@
                 return item.body
         raise errors.ServiceError(errors.ResultCode.ITEM_UNKNOWN)
 
-    async def end_batch(
-        self, record: records.Record, patience_s: float
-    ) -> None:
+    async def end_batch(self, record: records.Record, timeout_s: float) -> None:
         """Ends a batch.
 
         Raises:
-            ServiceError: If that is not surely known to the store.
+            ServiceError: If the end may not have been stored.
         """
-        patience_s = min(STORE_PATIENCE_S, patience_s - ANSWER_MARGIN_S)
-        await self.batch_cache.end(record, patience_s)
+        timeout_s = min(STORE_TIMEOUT_S, timeout_s - RESPONSE_MARGIN_S)
+        await self.batch_cache.end(record, timeout_s)
         events.log(
             events.Event.BATCH_ENDED,
             batch=record.batch.id,
--- a/src/kingcupscale/gateway/callstate.py
+++ b/src/kingcupscale/gateway/callstate.py
@@ -1,4 +1,4 @@
-"""What a node has tried for one call."""
+"""The state of one call across its attempts."""
 
 import attrs
 
@@ -7,18 +7,18 @@
 
 @attrs.define
 class CallState:
-    """What has been tried for one call.
+    """The state of one call across its attempts.
 
     Attributes:
-        route: Its route.
-        organisation: Its organisation; None on an open route.
-        service: The service it goes to.
-        deadline: Monotonic time of its end.
-        wait_until: Monotonic time until which it waits for room.
-        tried: Servers that ran it or may have.
-        full: Servers that turned it away at the last look.
-        sent: How many attempts may have run.
-        reason: Why the last one failed.
+        route: The route of the call.
+        organisation: The calling organisation; None on an open route.
+        service: The service that the call is sent to.
+        deadline: Monotonic time at which the call times out.
+        wait_until: Monotonic time until which it waits for a free slot.
+        tried: Servers that have or may have executed it.
+        full: Servers that rejected it since the last poll.
+        sent: Number of attempts that may have been executed.
+        reason: Why the last attempt failed.
     """
 
     route: catalogue.Route
--- a/src/kingcupscale/gateway/forwarder.py
+++ b/src/kingcupscale/gateway/forwarder.py
@@ -1,4 +1,4 @@
-"""Passing single calls on to plain servers and model engines."""
+"""Forwards single calls to backend servers, with retries and timeouts."""
 
 import contextlib
 import random
@@ -21,44 +21,54 @@
 from kingcupscale.gateway import responsestream
 from kingcupscale.web import message
 
-# A server in the same region accepts a connection within milliseconds.
-CONNECT_S = 0.25
-# An attempt is given up for another server after this many times the wanted
-# latency, if the call may be repeated; later attempts get twice as long.
-ATTEMPT_PATIENCE = 1.5
-ATTEMPT_LEAST_S = 0.15
-# How often a call looks for room while all servers are full, and for how much
-# of the wanted latency.
-ROOM_POLL_S = 0.02
-ROOM_PATIENCE = 1.0
-# Bodies up to this size are held back until they are whole, so that a call
-# whose answer breaks off can be repeated; longer ones are passed on as they
-# come, so that memory is bounded whatever a server sends.
+# Backend servers are in the same region and accept connections within
+# milliseconds.
+CONNECT_TIMEOUT_S = 0.25
+# Timeout of an attempt, as a multiple of the expected latency. It applies to
+# calls that may be repeated; the call is then retried on another server. The
+# timeout doubles with each attempt.
+ATTEMPT_TIMEOUT_FACTOR = 1.5
+# Lower bound of the expected latency in the timeout of an attempt.
+MIN_EXPECTED_LATENCY_S = 0.15
+# Poll interval for a free server while all servers are at capacity.
+QUEUE_POLL_S = 0.02
+# Longest wait for a free server, as a multiple of the target latency.
+QUEUE_WAIT_FACTOR = 1.0
+# Response bodies up to this size are buffered until they are complete, so that
+# a call can be retried if its response is cut off. Longer bodies are streamed
+# to the caller, so that memory use is bounded whatever a server sends.
 MAX_BUFFERED_BYTES = 64 * 1024
-# Weight of the newest answer in a service's mean latency.
+# Weight of the newest response in a service's moving average of the latency.
 LATENCY_WEIGHT = 0.05
 
 
 class UsageCounter(Protocol):
-    """Counts requests that began to run."""
+    """Counts the requests that backend servers started to run."""
 
     def count_started(self, organisation: str) -> None:
-        """Counts one, begun now."""
+        """Counts one request of an organisation, started now."""
         ...
 
 
 class Forwarder:
-    """Answers single calls by way of backend servers.
+    """Forwards single calls to backend servers.
+
+    It chooses a server, sends the call, and retries it on another server if
+    the route allows that. A route that allows no retries is sent again only
+    after responses that say that the server has not executed the call.
 
     Args:
-        admission: Finds routes and organisations.
-        servers: The servers.
-        client: Calls them.
-        usage: Counts what organisations run.
-        measures: Counters and histograms.
-        clock: Tells the time.
-        rng: Decides among equals.
+        admission: Finds the route and authenticates the organisation.
+        servers: The known backend servers.
+        client: Sends requests to backend servers.
+        usage: Counts the requests of each organisation.
+        call_metrics: Records the latency of calls.
+        clock: The clock.
+        rng: Picks services by weight, breaks ties and adds jitter.
         zone: Availability zone of this node.
+
+    Attributes:
+        latency_s: Moving average of the latency, by service.
     """
 
     def __init__(
@@ -67,7 +77,7 @@
         servers: registry.ServerRegistry,
         client: serverclient.ServerClient,
         usage: UsageCounter,
-        measures: metrics.Metrics,
+        call_metrics: metrics.Metrics,
         clock: clocks.Clock,
         rng: random.Random,
         zone: str,
@@ -76,7 +86,7 @@
         self.servers = servers
         self.client = client
         self.usage = usage
-        self.measures = measures
+        self.metrics = call_metrics
         self.clock = clock
         self.rng = rng
         self.zone = zone
@@ -85,36 +95,37 @@
     async def forward(
         self, inbound: inboundrequest.InboundRequest
     ) -> message.Response:
-        """Returns the answer of a backend server.
+        """Forwards a call and returns the response of a backend server.
 
         Raises:
-            ServiceError: If none of them answers in time.
-            NotSentError: If the call may not leave any more.
+            ServiceError: If the call is not admitted, or no server responds
+                in time.
+            NotSentError: If the request's ``before_send`` check fails.
         """
         route, organisation = self.admission.admit(inbound)
         state = callstate.CallState(
             route,
             organisation,
-            self._draw_service(route),
-            inbound.received_at + _patience_s(inbound, route),
-            inbound.received_at + ROOM_PATIENCE * route.target_latency_s,
+            self._pick_service(route),
+            inbound.received_at + _time_limit_s(inbound, route),
+            inbound.received_at + QUEUE_WAIT_FACTOR * route.target_latency_s,
         )
-        last: message.Response | None = None
+        last_response: message.Response | None = None
         while True:
-            server = await self._find_server(inbound, state)
+            server = await self._wait_for_server(inbound, state)
             if server is None:
                 break
-            answer = await self._attempt(inbound, state, server)
+            answer = await self._try_server(inbound, state, server)
             if answer is not None:
-                last = answer
+                last_response = answer
                 if answer.status < 500 or not self._may_retry(state):
                     break
             elif state.reason and not self._may_retry(state):
                 break
-        if last is None:
-            raise self._failure(inbound, state)
-        self._record(inbound, state, last)
-        return last
+        if last_response is None:
+            raise self._make_error(inbound, state)
+        self._record(inbound, state, last_response)
+        return last_response
 
     def _record(
         self,
@@ -124,7 +135,7 @@
     ) -> None:
         elapsed_s = self.clock.monotonic() - inbound.received_at
         label = state.organisation.name if state.organisation else "open"
-        self.measures.record(
+        self.metrics.record(
             label,
             state.route.name,
             metrics.Measure.TOTAL_MS,
@@ -143,7 +154,7 @@
                 reason=state.reason,
             )
 
-    def _draw_service(self, route: catalogue.Route) -> str:
+    def _pick_service(self, route: catalogue.Route) -> str:
         weights = [share.weight for share in route.shares]
         if len(weights) == 1 or sum(weights) <= 0:
             return route.shares[0].service
@@ -156,12 +167,16 @@
             and self.clock.monotonic() < state.deadline
         )
 
-    async def _find_server(
+    async def _wait_for_server(
         self,
         inbound: inboundrequest.InboundRequest,
         state: callstate.CallState,
     ) -> registry.Server | None:
-        """Returns a server with room, waiting a little for one."""
+        """Returns a server with a free slot, or None if none gets one in time.
+
+        Background calls wait until their deadline, others only for
+        ``QUEUE_WAIT_FACTOR`` times the target latency.
+        """
         until = state.wait_until
         if inbound.is_background:
             until = state.deadline
@@ -169,15 +184,15 @@
             now = self.clock.monotonic()
             if now >= state.deadline:
                 return None
-            server = self._choose(inbound, state, now)
+            server = self._choose_server(inbound, state, now)
             if server is not None:
                 return server
             if now >= until:
                 return None
             state.full.clear()
-            await self.clock.sleep(ROOM_POLL_S)
+            await self.clock.sleep(QUEUE_POLL_S)
 
-    def _choose(
+    def _choose_server(
         self,
         inbound: inboundrequest.InboundRequest,
         state: callstate.CallState,
@@ -189,36 +204,36 @@
             if server.is_usable(now) and server.id not in state.full
         ]
         if inbound.is_background:
-            # Calls that nobody waits for leave a slot free at each server.
+            # Background calls leave one slot of each server to other calls.
             usable = [
                 s for s in usable if s.load(now) < max(1, s.entry.slots - 1)
             ]
-        fresh = [s for s in usable if s.id not in state.tried]
-        return placement.choose(fresh or usable, self.zone, now, self.rng)
+        untried = [s for s in usable if s.id not in state.tried]
+        return placement.choose(untried or usable, self.zone, now, self.rng)
 
-    async def _attempt(
+    async def _try_server(
         self,
         inbound: inboundrequest.InboundRequest,
         state: callstate.CallState,
         server: registry.Server,
     ) -> message.Response | None:
-        """Sends a call once; None if that brought no answer to pass on."""
+        """Sends a call to one server; returns None if the attempt failed."""
         now = self.clock.monotonic()
         left_s = min(state.deadline - now, state.route.timeout_s)
-        limit_s = left_s
+        timeout_s = left_s
         if state.route.allows_retry() and not state.route.is_streaming:
-            limit_s = min(left_s, self._attempt_limit_s(state))
+            timeout_s = min(left_s, self._attempt_timeout_s(state))
         call = self._make_call(inbound, state, left_s)
         server.in_flight += 1
         answer: message.Response | None = None
         try:
-            with trio.move_on_after(limit_s) as scope:
-                answer = await self._exchange(state, server, call)
+            with trio.move_on_after(timeout_s) as scope:
+                answer = await self._send_call(state, server, call)
             if scope.cancelled_caught:
                 state.sent += 1
                 state.tried.add(server.id)
-                state.reason = f"no answer in {limit_s:.2f} s"
-                self._learn_latency(state.service, limit_s)
+                state.reason = f"no response within {timeout_s:.2f} s"
+                self._update_latency(state.service, timeout_s)
                 server.record_failure(self.clock.monotonic())
         except serverclient.NotSentError:
             raise
@@ -242,15 +257,15 @@
             server.in_flight -= 1
         return answer
 
-    def _attempt_limit_s(self, state: callstate.CallState) -> float:
+    def _attempt_timeout_s(self, state: callstate.CallState) -> float:
         if state.sent + 1 >= state.route.max_attempts:
             return float("inf")
-        usual_s = max(
+        expected_s = max(
             state.route.target_latency_s,
             2 * self.latency_s.get(state.service, 0.0),
-            ATTEMPT_LEAST_S,
+            MIN_EXPECTED_LATENCY_S,
         )
-        return ATTEMPT_PATIENCE * usual_s * 2**state.sent
+        return ATTEMPT_TIMEOUT_FACTOR * expected_s * 2**state.sent
 
     def _make_call(
         self,
@@ -273,21 +288,21 @@
             before_send=inbound.before_send,
         )
 
-    async def _exchange(
+    async def _send_call(
         self,
         state: callstate.CallState,
         server: registry.Server,
         call: serverclient.Call,
     ) -> message.Response | None:
-        began_at = self.clock.monotonic()
+        started_at = self.clock.monotonic()
         if state.route.is_streaming:
             return await self._open_stream(state, server, call)
         stack = contextlib.AsyncExitStack()
         async with contextlib.AsyncExitStack() as opening:
             answer = await opening.enter_async_context(
-                self.client.run(server, call, CONNECT_S)
+                self.client.run(server, call, CONNECT_TIMEOUT_S)
             )
-            if self._was_turned_away(state, server, answer):
+            if self._was_rejected(state, server, answer):
                 return None
             response = message.Response(
                 answer.status,
@@ -296,19 +311,19 @@
                 signature=answer.signature,
             )
             is_whole = await response.read_at_most(MAX_BUFFERED_BYTES)
-            self._check(answer)
+            self._check_signature(answer)
             if not is_whole:
                 stack = opening.pop_all()
         state.sent += 1
         state.tried.add(server.id)
-        self._learn(state, server, began_at)
+        self._record_success(state, server, started_at)
         if not is_whole:
             response.chunks = responsestream.stream_body(
                 stack, response.body, answer, state.deadline, self.clock
             )
         return response
 
-    def _was_turned_away(
+    def _was_rejected(
         self,
         state: callstate.CallState,
         server: registry.Server,
@@ -324,36 +339,39 @@
             server.record_failure(now)
         return True
 
-    def _check(self, answer: serverclient.ServerResponse) -> None:
+    def _check_signature(self, answer: serverclient.ServerResponse) -> None:
         if not answer.signature:
             raise serverclient.ServerError(
-                f"status {answer.status} without a signature", True
+                f"expected a signed response, got unsigned {answer.status}",
+                True,
             )
 
-    def _learn(
+    def _record_success(
         self,
         state: callstate.CallState,
         server: registry.Server,
-        began_at: float,
+        started_at: float,
     ) -> None:
-        elapsed_s = self.clock.monotonic() - began_at
-        usual_s = self._learn_latency(state.service, elapsed_s)
+        elapsed_s = self.clock.monotonic() - started_at
+        expected_s = self._update_latency(state.service, elapsed_s)
         server.record_success()
-        server.update_relative_latency(elapsed_s / max(usual_s, 0.001))
+        server.update_relative_latency(elapsed_s / max(expected_s, 0.001))
         if state.organisation is not None:
             self.usage.count_started(state.organisation.name)
 
-    def _learn_latency(self, service: str, elapsed_s: float) -> float:
-        """Adds a call to a service's mean latency, and returns the one before.
+    def _update_latency(self, service: str, elapsed_s: float) -> float:
+        """Updates a service's mean latency and returns its previous value.
 
-        A call that was given up took at least as long as it was waited for;
-        without those, a node that is slow itself would give up all calls.
+        Calls that timed out are included with the time spent waiting, which is
+        a lower bound of their latency. Without them, the expected latency would
+        stay too low on a node that is slow itself, and all calls would time
+        out.
         """
-        usual_s = self.latency_s.setdefault(service, elapsed_s)
-        self.latency_s[service] = usual_s + LATENCY_WEIGHT * (
-            elapsed_s - usual_s
+        expected_s = self.latency_s.setdefault(service, elapsed_s)
+        self.latency_s[service] = expected_s + LATENCY_WEIGHT * (
+            elapsed_s - expected_s
         )
-        return usual_s
+        return expected_s
 
     async def _open_stream(
         self,
@@ -361,15 +379,15 @@
         server: registry.Server,
         call: serverclient.Call,
     ) -> message.Response | None:
-        """Returns an answer whose events are passed on as they come."""
+        """Returns a response whose events are streamed as they arrive."""
         stack = contextlib.AsyncExitStack()
         async with contextlib.AsyncExitStack() as opening:
             answer = await opening.enter_async_context(
-                self.client.run(server, call, CONNECT_S)
+                self.client.run(server, call, CONNECT_TIMEOUT_S)
             )
-            if self._was_turned_away(state, server, answer):
+            if self._was_rejected(state, server, answer):
                 return None
-            self._check(answer)
+            self._check_signature(answer)
             stack = opening.pop_all()
         state.sent += 1
         state.tried.add(server.id)
@@ -381,7 +399,7 @@
         )
         return message.Response(answer.status, answer.headers, chunks=pieces)
 
-    def _failure(
+    def _make_error(
         self,
         inbound: inboundrequest.InboundRequest,
         state: callstate.CallState,
@@ -394,19 +412,17 @@
                 if now >= state.deadline
                 else errors.ResultCode.BACKEND_FAILED
             )
-            failure = errors.ServiceError(
-                code, state.reason, errors.Run.UNKNOWN
-            )
+            error = errors.ServiceError(code, state.reason, errors.Run.UNKNOWN)
         else:
             servers = self.servers.list_servers(state.service)
-            is_any = any(s.is_usable(now) for s in servers)
+            has_usable = any(s.is_usable(now) for s in servers)
             code = (
                 errors.ResultCode.DEADLINE_UNMET
-                if is_any
+                if has_usable
                 else errors.ResultCode.NO_SERVER
             )
             wait_s = self.latency_s.get(state.service, 0.1)
-            failure = errors.ServiceError(
+            error = errors.ServiceError(
                 code,
                 state.reason,
                 retry_after_s=backoff.retry_after_s(wait_s, left_s, self.rng),
@@ -423,13 +439,17 @@
             reason=state.reason,
             left_s=round(left_s, 3),
         )
-        return failure
+        return error
 
 
-def _patience_s(
+def _time_limit_s(
     inbound: inboundrequest.InboundRequest, route: catalogue.Route
 ) -> float:
-    """Returns for how long a call may wait for room and for answers."""
+    """Returns the time limit of a call, including waiting and retries.
+
+    A background call has only the limit of its sender, because the route's
+    limit would also count the time spent waiting for a free server.
+    """
     if inbound.is_background:
         return inbound.timeout_s
     return min(inbound.timeout_s, route.timeout_s)
--- a/src/kingcupscale/gateway/inboundrequest.py
+++ b/src/kingcupscale/gateway/inboundrequest.py
@@ -1,4 +1,4 @@
-"""A single call as a caller sent it."""
+"""A caller's request after decoding."""
 
 from collections.abc import Callable
 
@@ -7,23 +7,24 @@
 
 @attrs.frozen
 class InboundRequest:
-    """A caller's request, decoded.
+    """A caller's request after decoding.
 
     Attributes:
-        request_id: Identity that the caller gave it.
-        method: Method.
+        request_id: Request id assigned by the caller.
+        method: HTTP method.
         host: Host header.
-        path: Path.
-        query: Query.
-        headers: Headers that may be passed on.
+        path: Path without the query.
+        query: Query string without the question mark.
+        headers: Headers to forward to the backend server.
         body: The whole body.
-        key: The caller's key; empty if it sent none.
-        timeout_s: Seconds that the caller will wait, from ``received_at``.
-        received_at: Monotonic time of arrival.
-        resume_after: Number of the last event that the caller has.
-        is_background: Whether nobody waits for it directly.
-        before_send: Called right before it leaves for a server; raises
-            ``serverclient.NotSentError`` to keep it here.
+        key: API key; empty if the caller sent none.
+        timeout_s: Seconds, from ``received_at``, that the caller waits.
+        received_at: Monotonic time at which the request arrived.
+        resume_after: Number of the last stream event that the caller has.
+        is_background: Whether it is low-priority work, such as scoring, that
+            no caller waits for directly.
+        before_send: Called right before it is sent to a server; raises
+            ``serverclient.NotSentError`` to prevent that.
     """
 
     request_id: str
--- a/src/kingcupscale/gateway/placement.py
+++ b/src/kingcupscale/gateway/placement.py
@@ -1,8 +1,9 @@
-"""Which server gets a plain call.
+"""Load balancing of single calls over the servers of a service.
 
-Answers load that comes to a few nodes in uneven shares: each node joins what
-servers told of their load with what it has sent them itself, and leaves its
-own availability zone only where that saves time.
+Nodes receive uneven shares of the calls. Each node therefore combines the load
+that servers report with the calls it has in flight itself. It prefers servers
+in its own availability zone unless one in another zone is expected to be
+faster.
 """
 
 from collections.abc import Iterable
@@ -10,10 +11,10 @@
 
 from kingcupscale.fleet import registry
 
-# A server in another zone must be this much less busy, as a share of its
-# slots, to be worth the bytes between zones.
+# Cost of a server in another zone, as a share of its slots. It must be this
+# much less busy to be worth the traffic between zones.
 OTHER_ZONE_COST = 0.15
-# Weight of a row of failures against load.
+# Cost of each consecutive failure of a server.
 FAILURE_COST = 0.5
 
 
@@ -23,13 +24,13 @@
     now: float,
     rng: random.Random,
 ) -> registry.Server | None:
-    """Returns the server on which a call probably ends first.
+    """Returns the server that is expected to finish a call first.
 
     Args:
         servers: Usable candidates.
         zone: Availability zone of this node.
         now: Monotonic time.
-        rng: Decides among equals.
+        rng: Breaks ties.
     """
     return min(
         servers,
@@ -39,7 +40,7 @@
 
 
 def cost(server: registry.Server, zone: str, now: float) -> float:
-    """Returns the expected time on a server, in services of an idle one."""
+    """Returns the expected latency, relative to an average idle server."""
     share = server.load(now) / max(1, server.entry.slots)
     total = (
         1.0 + share
@@ -53,6 +54,6 @@
     now: float,
     rng: random.Random,
 ) -> registry.Server | None:
-    """Returns any server; the baseline of ``choose``."""
+    """Returns a random server; tests compare ``choose`` against it."""
     candidates = sorted(servers, key=lambda server: server.id)
     return rng.choice(candidates) if candidates else None
--- a/src/kingcupscale/gateway/responsestream.py
+++ b/src/kingcupscale/gateway/responsestream.py
@@ -1,4 +1,4 @@
-"""Passing bodies on to callers as they come."""
+"""Streams response bodies to callers."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -8,8 +8,8 @@
 from kingcupscale import clock as clocks
 from kingcupscale.fleet import serverclient
 
-# A sound server ends its stream at the time limit by itself; this is for the
-# way back.
+# Servers end their streams at the time limit by themselves. This margin covers
+# the network latency of the last bytes.
 STREAM_MARGIN_S = 0.1
 
 
@@ -20,20 +20,21 @@
     until: float,
     clock: clocks.Clock,
 ) -> AsyncIterator[bytes]:
-    """Yields a body until it ends or its time is up.
+    """Yields a response body until it is complete or its deadline passes.
 
-    Silence ends nothing sooner: a slow server may be sound. One that sends a
-    byte now and then has no more time than others.
+    There is no idle timeout, because a slow server may still be healthy. The
+    deadline is absolute, so a server that sends single bytes does not extend
+    it.
 
     Args:
-        stack: What is to be closed behind the body.
-        start: What has been read of it.
-        answer: The answer that it belongs to.
-        until: Monotonic time by which it has to be whole.
-        clock: Tells the time.
+        stack: Resources to close after the body.
+        start: The part of the body that has already been read.
+        answer: The response that the body belongs to.
+        until: Monotonic time by which the body has to be complete.
+        clock: The clock.
 
     Raises:
-        ServerError: If it is not whole by then, so that it is broken off.
+        ServerError: If the body is not complete at the deadline.
     """
     async with stack:
         if start:
@@ -44,7 +45,9 @@
             with trio.move_on_after(left_s) as scope:
                 piece = await anext(answer.body, None)
             if scope.cancelled_caught:
-                raise serverclient.ServerError("body without end", True)
+                raise serverclient.ServerError(
+                    "response body not complete at its deadline", True
+                )
             if piece is None:
                 return
             yield piece
