--- a/src/kingcupscale/gateway/backoff.py
+++ b/src/kingcupscale/gateway/backoff.py
@@ -6,12 +6,12 @@
 
 import random
 
-# Bounds of the time, in seconds. Servers answer in tens of milliseconds, and a
-# store that is out of reach usually recovers within seconds.
-MIN_RETRY_S = 0.05
-MAX_RETRY_S = 2.0
+# Least and most that a caller is asked to wait, in seconds. Servers answer in
+# tens of milliseconds, and a store that is out comes back within seconds.
+LEAST_S = 0.05
+MOST_S = 2.0
 # Largest jitter, as a share of the expected wait.
-JITTER = 0.5
+SPREAD = 0.5
 
 
 def retry_after_s(
@@ -25,6 +25,6 @@
             Retry-After of up to a third of them.
         rng: Source of the jitter.
     """
-    wait_s = min(MAX_RETRY_S, max(MIN_RETRY_S, expected_wait_s))
-    wait_s *= 1 + JITTER * rng.random()
-    return round(min(wait_s, max(MIN_RETRY_S, time_left_s / 4)), 3)
+    wait_s = min(MOST_S, max(LEAST_S, expected_wait_s))
+    wait_s *= 1 + SPREAD * rng.random()
+    return round(min(wait_s, max(LEAST_S, time_left_s / 4)), 3)
--- a/src/kingcupscale/gateway/callstate.py
+++ b/src/kingcupscale/gateway/callstate.py
@@ -10,9 +10,9 @@
     """The state of one call across its attempts.
 
     Attributes:
-        route: The route of the call.
-        organisation: The calling organisation; None on an open route.
-        service: The service that the call is sent to.
+        route: Its route.
+        organisation: Its organisation; None on an open route.
+        service: The service it goes to.
         deadline: Monotonic time at which the call times out.
         wait_until: Monotonic time until which it waits for a free slot.
         tried: Servers that have or may have executed it.
--- a/src/kingcupscale/gateway/inboundrequest.py
+++ b/src/kingcupscale/gateway/inboundrequest.py
@@ -10,16 +10,16 @@
     """A caller's request after decoding.
 
     Attributes:
-        request_id: Request id assigned by the caller.
-        method: HTTP method.
+        request_id: Identity that the caller gave it.
+        method: Method.
         host: Host header.
-        path: Path without the query.
-        query: Query string without the question mark.
-        headers: Headers to forward to the backend server.
+        path: Path.
+        query: Query.
+        headers: Headers that may be passed on.
         body: The whole body.
         key: API key; empty if the caller sent none.
         timeout_s: Seconds, from ``received_at``, that the caller waits.
-        received_at: Monotonic time at which the request arrived.
+        received_at: Monotonic time of arrival.
         resume_after: Number of the last stream event that the caller has.
         is_background: Whether it is low-priority work, such as scoring, that
             no caller waits for directly.
