--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -43,8 +43,8 @@
     Break(
         "no result is missed by a node that takes a copy",
         "batches/fetching.py",
-        "if copy is None or copy.revision < revision:",
-        "if copy is None:",
+        "if snapshot is None or snapshot.revision < revision:",
+        "if snapshot is None:",
         CACHE,
     ),
     Break(
@@ -64,7 +64,7 @@
     Break(
         "a mirror is no newer than it says",
         "peering/relay.py",
-        "asked_at - self.mirror.current_at",
+        "requested_at - self.mirror.current_at",
         "0.0",
         "tests.storage.test_relay",
     ),
@@ -98,21 +98,21 @@
         "return is_alone and bool(self.peers.addresses())",
         "return False",
         SITE + "test_configurations.ConfigurationTest"
-        ".test_node_that_hears_nobody_stops_admitting",
+        ".test_isolated_node_stops_admitting",
     ),
     Break(
         "no refusal rests on an old configuration",
         "gateway/admission.py",
         "return self.find_staleness_error() or errors.ServiceError(code)",
         "return errors.ServiceError(code)",
-        SITE + "test_configurations.OldViewTest",
+        SITE + "test_configurations.StaleConfigurationTest",
     ),
     Break(
         "no batch is hidden by an old configuration",
         "gateway/callerservice.py",
         "if stale and is_known and e.code is errors.ResultCode.BATCH_UNKNOWN:",
         "if False:",
-        SITE + "test_configurations.OldViewTest",
+        SITE + "test_configurations.StaleConfigurationTest",
     ),
     Break(
         "texts go on after a takeover",
@@ -157,7 +157,7 @@
         "key = next((k for k in self.copied_results if k[1] == sample.id), "
         "None)",
         SITE + "test_versions.VersionTest"
-        ".test_result_of_an_ended_batch_is_not_listed_in_another",
+        ".test_result_of_an_ended_batch_is_not_used_for_another",
     ),
     Break(
         "a mirror that missed a change is read anew",
@@ -237,7 +237,7 @@
         "runtime.py",
         "self.registration.note_removed()",
         "pass",
-        SITE + "test_lifecycle.PresenceTest",
+        SITE + "test_lifecycle.RegistrationTest",
     ),
     Break(
         "a lease that nothing needs is not renewed",
@@ -256,8 +256,8 @@
     Break(
         "a version that nobody told of is asked for",
         "batches/generation.py",
-        "            server.versions.update(report.versions)\n",
-        "            del report\n",
+        "            server.versions.update(status.versions)\n",
+        "            del status\n",
         SITE + "test_versions.VersionTest",
     ),
     Break(
@@ -308,8 +308,8 @@
     Break(
         "a score is the signature of a success",
         "batches/scoring.py",
-        'score = answer.signature if answer.status < 300 else ""',
-        "score = answer.signature",
+        'score = response.signature if response.status < 300 else ""',
+        "score = response.signature",
         SITE + "test_batches",
     ),
     Break(
--- a/src/kingcupscale/batches/generation.py
+++ b/src/kingcupscale/batches/generation.py
@@ -89,14 +89,16 @@
         sample.discard_unusable_text(version)
         sample.begin_run()
         started_at = self.clock.monotonic()
-        before = len(sample.events)
+        resumed_events = len(sample.events)
         call = self._make_call(sample, version)
         outcome = "cancelled before its end"
         view_age_s = self.guard.view.age_s()
         try:
             with sample.run_scope:
-                async with self._open_request(server, call) as answer:
-                    outcome = await self._read_answer(sample, server, answer)
+                async with self._open_request(server, call) as response:
+                    outcome = await self._read_response(
+                        sample, server, response
+                    )
             if sample.run_scope.cancelled_caught:
                 outcome = "moved"
         except serverclient.NotSentError as e:
@@ -108,12 +110,12 @@
             self._postpone(sample, FAILED_PAUSE_S)
         finally:
             self._log_run(
-                sample, server, outcome, started_at, before, view_age_s
+                sample, server, outcome, started_at, resumed_events, view_age_s
             )
         if outcome != "whole":
             return False
         server.record_success()
-        self._update_averages(sample, server, started_at, before)
+        self._update_averages(sample, server, started_at, resumed_events)
         return True
 
     @contextlib.asynccontextmanager
@@ -127,14 +129,14 @@
         """
         async with contextlib.AsyncExitStack() as stack:
             with trio.move_on_after(HEADER_TIMEOUT_S) as scope:
-                answer = await stack.enter_async_context(
+                response = await stack.enter_async_context(
                     self.client.run(server, call, CONNECT_TIMEOUT_S)
                 )
             if scope.cancelled_caught:
                 raise serverclient.ServerError(
                     "no response headers in time", True
                 )
-            yield answer
+            yield response
 
     def _make_call(
         self, sample: samples.Sample, version: int
@@ -155,52 +157,54 @@
             before_send=functools.partial(self.guard.check, sample),
         )
 
-    async def _read_answer(
+    async def _read_response(
         self,
         sample: samples.Sample,
         server: registry.Server,
-        answer: serverclient.ServerResponse,
+        response: serverclient.ServerResponse,
     ) -> str:
         """Reads a response; returns "whole" or why the text is incomplete."""
         now = self.clock.monotonic()
-        if answer.load is not None:
-            server.update_load(answer.load, now)
-        if answer.not_executed:
-            await self._handle_rejection(sample, server, answer)
-            return f"rejected without running, status {answer.status}"
-        if answer.status == 422:
+        if response.load is not None:
+            server.update_load(response.load, now)
+        if response.not_executed:
+            await self._handle_rejection(sample, server, response)
+            return f"rejected without running, status {response.status}"
+        if response.status == 422:
             self.on_failed(sample, "rejected by the engine as unprocessable")
             return "rejected as unprocessable"
-        if not answer.is_success:
-            self._handle_failure(sample, answer)
-            return f"failed with status {answer.status}"
-        return await self._read_events(sample, server, answer)
+        if not response.is_success:
+            self._handle_failure(sample, response)
+            return f"failed with status {response.status}"
+        return await self._read_events(sample, server, response)
 
     async def _handle_rejection(
         self,
         sample: samples.Sample,
         server: registry.Server,
-        answer: serverclient.ServerResponse,
+        response: serverclient.ServerResponse,
     ) -> None:
+        """Updates what is known of an engine that rejected a run."""
         now = self.clock.monotonic()
         model = sample.record.batch.model
-        if not answer.wrong_server:
+        if not response.wrong_server:
             server.no_samples_until[model] = now + REJECTED_PAUSE_S
-        elif answer.version:
-            server.versions[model] = answer.version
+        elif response.version:
+            server.versions[model] = response.version
         else:
             # The address may belong to another server by now, or the engine
-            # may have other weights than this node knows. Its report tells
+            # may have other weights than this node knows. Its status tells
             # which of the two it is.
             server.record_failure(now)
-            report = await self.client.fetch_engine_status(server)
-            server.versions.update(report.versions)
+            status = await self.client.fetch_engine_status(server)
+            server.versions.update(status.versions)
 
     def _handle_failure(
-        self, sample: samples.Sample, answer: serverclient.ServerResponse
+        self, sample: samples.Sample, response: serverclient.ServerResponse
     ) -> None:
+        """Counts a failure of the engine and fails a sample with too many."""
         self._postpone(sample, FAILED_PAUSE_S)
-        if answer.status == 500 and answer.signature:
+        if response.status == 500 and response.signature:
             sample.failures += 1
             if sample.failures >= sample.route.max_attempts:
                 self.on_failed(sample, "failed at every attempt")
@@ -209,9 +213,15 @@
         self,
         sample: samples.Sample,
         server: registry.Server,
-        answer: serverclient.ServerResponse,
+        response: serverclient.ServerResponse,
     ) -> str:
-        stream = self.client.events(answer)
+        """Appends a response's events to a sample until the text is complete.
+
+        Raises:
+            ServerError: If the stream breaks, stops, skips an event or
+                exceeds a limit.
+        """
+        stream = self.client.events(response)
         size = sum(len(event.data) for event in sample.events)
         async with contextlib.aclosing(stream):
             while True:
@@ -242,6 +252,7 @@
     def _idle_timeout_s(
         self, sample: samples.Sample, server: registry.Server
     ) -> float:
+        """Returns how long an engine may send nothing."""
         is_loading = server.loading_until > self.clock.monotonic()
         base_s = LOADING_IDLE_TIMEOUT_S if is_loading else IDLE_TIMEOUT_S
         return min(MAX_IDLE_TIMEOUT_S, base_s * 2**sample.idle_timeouts)
@@ -254,14 +265,14 @@
         sample: samples.Sample,
         server: registry.Server,
         started_at: float,
-        before: int,
+        resumed_events: int,
     ) -> None:
         """Updates the averages and the engine's speed after a complete run."""
-        generated = len(sample.events) - before
+        generated = len(sample.events) - resumed_events
         if not generated:
             return
         elapsed_s = self.clock.monotonic() - started_at
-        if before == 0 and sample.item.length_hint:
+        if resumed_events == 0 and sample.item.length_hint:
             ratio = sample.item.length_hint / len(sample.events)
             self.event_tokens *= (ratio / self.event_tokens) ** AVERAGE_WEIGHT
             token_s = min(MAX_TOKEN_S, elapsed_s / sample.item.length_hint)
@@ -278,7 +289,7 @@
         server: registry.Server,
         outcome: str,
         started_at: float,
-        before: int,
+        resumed_events: int,
         view_age_s: float,
     ) -> None:
         now = self.clock.monotonic()
@@ -291,7 +302,7 @@
             outcome=outcome,
             waited_s=round(started_at - sample.waiting_since, 3),
             took_s=round(now - started_at, 3),
-            events=[before, len(sample.events)],
+            events=[resumed_events, len(sample.events)],
             expected_tokens=sample.expected_tokens(),
             in_flight=server.in_flight,
             view_age_s=round(view_age_s, 3),
--- a/src/kingcupscale/batches/samplereplication.py
+++ b/src/kingcupscale/batches/samplereplication.py
@@ -134,7 +134,7 @@
     def _collect_updates(self) -> list[handover.TextUpdate]:
         texts = []
         open_item_ids = set()
-        for sample in self.coordinator.unlisted_samples(self.model):
+        for sample in self.coordinator.unsaved_samples(self.model):
             open_item_ids.add(sample.id)
             sent = self.sent.get(sample.id, 0)
             if sent > len(sample.events):
--- a/src/kingcupscale/batches/scoring.py
+++ b/src/kingcupscale/batches/scoring.py
@@ -58,10 +58,10 @@
         while sample.result is None:
             try:
                 self.guard.check(sample)
-                answer = await self.forwarder.forward(
-                    self._score_call(sample, scorer)
+                response = await self.forwarder.forward(
+                    self._make_call(sample, scorer)
                 )
-                score = answer.signature if answer.status < 300 else ""
+                score = response.signature if response.status < 300 else ""
             except serverclient.NotSentError:
                 await self.clock.sleep(RETRY_PAUSE_S)
                 continue
@@ -77,18 +77,19 @@
             if score:
                 self.on_scored(sample, score)
             else:
-                self._record_score_failure(sample, answer.status)
+                self._record_score_failure(sample, response.status)
                 await self.clock.sleep(RETRY_PAUSE_S)
 
     def _record_score_failure(
         self, sample: samples.Sample, status: int
     ) -> None:
+        """Counts a response without a score; fails a sample with too many."""
         sample.score_failures += 1
         events.log(
             events.Event.SCORING_FAILED,
             item=sample.id,
             request=sample.item.scorer.id if sample.item.scorer else "",
-            reason=f"status {status}",
+            reason=f"no score in the response, status {status}",
             failures=sample.score_failures,
         )
         scorer = sample.item.scorer
@@ -99,7 +100,7 @@
         if route and sample.score_failures >= route.max_attempts:
             self.on_failed(sample, "scoring call failed at every attempt")
 
-    def _score_call(
+    def _make_call(
         self, sample: samples.Sample, scorer: batches.Scorer
     ) -> inboundrequest.InboundRequest:
         return inboundrequest.InboundRequest(
