--- a/tests/batches/fleets.py
+++ b/tests/batches/fleets.py
@@ -94,7 +94,7 @@
         return revision
 
 
-class LaggingHttpClient(test_relay.HandlerHttpClient):
+class SlowHandlerClient(test_relay.HandlerHttpClient):
     """Carries calls to a handler that is near or far at the moment."""
 
     def __init__(self, handler, rng):
@@ -149,7 +149,7 @@
         others = [n for n in self.fleet.leaders() if n is not self]
         target = self.fleet.rng.choice(others)
         return relay.HttpRelayClient(
-            LaggingHttpClient(target.handler, self.fleet.rng)
+            SlowHandlerClient(target.handler, self.fleet.rng)
         )
 
     async def _follow(self, position):
--- a/tests/storage/test_relay.py
+++ b/tests/storage/test_relay.py
@@ -25,7 +25,7 @@
     return None
 
 
-class HandlerExchanger:
+class HandlerHttpClient:
     """Passes requests to one handler."""
 
     def __init__(self, handler):
