--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -119,7 +119,7 @@
         "batches/coordinator.py",
         "sample.events = self.partial_texts.pop(item.id, [])",
         "sample.events = []",
-        SITE + "test_batches.BatchTest.test_texts_go_on_after_a_takeover",
+        SITE + "test_batches.BatchTest.test_texts_are_resumed_after_a_takeover",
     ),
     Break(
         "a draining server gets nothing new",
@@ -134,7 +134,7 @@
         "    if may_have_run:\n        raise",
         "    if False:\n        raise",
         SITE + "test_submissions.SubmissionTest"
-        ".test_batch_that_may_be_kept_is_not_said_to_be_refused",
+        ".test_batch_that_may_be_stored_is_not_reported_refused",
     ),
     Break(
         "an open batch is kept",
--- a/tests/batches/fleets.py
+++ b/tests/batches/fleets.py
@@ -1,4 +1,4 @@
-"""Mirrors and books of several nodes before one store, in memory."""
+"""In-memory nodes with mirrors and batch caches that share one store."""
 
 import contextlib
 import random
@@ -21,8 +21,8 @@
 ITEMS = 30
 
 
-class Store:
-    """The shared store, with answers that take their time."""
+class FakeStore:
+    """In-memory store whose responses have random latency."""
 
     def __init__(self, rng):
         self.rng = rng
@@ -33,25 +33,25 @@
         self.scans = 0
         self.lost_at = 0
 
-    async def lag(self):
+    async def simulate_latency(self):
         await trio.sleep(self.rng.choice([0.001, 0.01, 0.1, 0.3]))
 
     async def get(self, key):
-        await self.lag()
+        await self.simulate_latency()
         return self.entries.get(key)
 
     async def scan(self, prefix, after=""):
         self.scans += 1
-        await self.lag()
+        await self.simulate_latency()
         keys = [k for k in sorted(self.entries) if k.startswith(prefix)]
         keys = [key for key in keys if key > after]
         page = [self.entries[key] for key in keys[:3]]
         result = stores.Page(page, self.revision, len(keys) > 3)
-        await self.lag()
+        await self.simulate_latency()
         return result
 
     async def watch(self, prefix, after, wait_s):
-        await self.lag()
+        await self.simulate_latency()
         with trio.move_on_after(wait_s):
             while self.revision <= after:
                 await self.changed.wait()
@@ -59,11 +59,11 @@
             raise stores.HistoryLostError
         found = [e for e in self.history if e.revision > after]
         result = stores.Page(found, self.revision, False)
-        await self.lag()
+        await self.simulate_latency()
         return result
 
-    def write_unheard(self, key, value):
-        """Writes a key, and forgets all history."""
+    def write_without_history(self, key, value):
+        """Writes a key and discards the history of changes."""
         self.revision += 1
         self.lost_at = self.revision
         self.entries[key] = stores.Entry(
@@ -73,7 +73,7 @@
         changed.set()
 
     async def commit(self, transaction):
-        await self.lag()
+        await self.simulate_latency()
         for condition in transaction.conditions:
             if condition.key in self.entries:
                 return None
@@ -90,12 +90,12 @@
         changed, self.changed = self.changed, trio.Event()
         changed.set()
         revision = self.revision
-        await self.lag()
+        await self.simulate_latency()
         return revision
 
 
-class LaggingExchanger(test_relay.HandlerExchanger):
-    """Carries calls to a handler that is near or far at the moment."""
+class SlowHandlerClient(test_relay.HandlerExchanger):
+    """Calls a handler with random latency."""
 
     def __init__(self, handler, rng):
         super().__init__(handler)
@@ -110,7 +110,10 @@
 
 
 class Node:
-    """A mirror and a book; leaders watch the store, others follow them."""
+    """A node with a mirror and a batch cache.
+
+    Leaders watch the store, other nodes follow a leader.
+    """
 
     def __init__(self, fleet, name, is_leader):
         self.fleet = fleet
@@ -124,7 +127,7 @@
             fallback.FallbackStore(fleet.store, self._commit_through_peer),
             clock,
             1 << 16,
-            self._fetch_copy,
+            self._fetch_snapshot,
         )
         self.handler = relay.RelayHandler(self.mirror, self.batch_cache)
         self.scope = trio.CancelScope()
@@ -149,7 +152,7 @@
         others = [n for n in self.fleet.leaders() if n is not self]
         target = self.fleet.rng.choice(others)
         return relay.HttpRelayClient(
-            LaggingExchanger(target.handler, self.fleet.rng)
+            SlowHandlerClient(target.handler, self.fleet.rng)
         )
 
     async def _follow(self, position):
@@ -162,7 +165,7 @@
         except relay.RelayError:
             return None
 
-    async def _fetch_copy(self, batch_id):
+    async def _fetch_snapshot(self, batch_id):
         if self.fleet.leaders() == [self]:
             return None
         try:
@@ -172,11 +175,11 @@
 
 
 class Fleet:
-    """Nodes before one store, writers and readers."""
+    """Nodes that share one store, with writers, readers and faults."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
-        self.store = Store(self.rng)
+        self.store = FakeStore(self.rng)
         self.nodes = [Node(self, f"n{i}", i < 2) for i in range(6)]
 
     def leaders(self):
@@ -190,8 +193,8 @@
                 node.is_leader = node in chosen
                 self.set_interest(node)
 
-    async def break_things(self, nursery, scope):
-        """Restarts nodes, and forgets the store's history."""
+    async def inject_faults(self, nursery, scope):
+        """Restarts nodes and discards the store's history at random."""
         with scope:
             while True:
                 await trio.sleep(self.rng.uniform(0.2, 1.0))
@@ -200,10 +203,10 @@
                 else:
                     self._restart(nursery, self.rng.randrange(len(self.nodes)))
 
-    def _restart(self, nursery, place):
-        old = self.nodes[place]
+    def _restart(self, nursery, index):
+        old = self.nodes[index]
         old.scope.cancel()
-        new = self.nodes[place] = Node(self, old.mirror.node, old.is_leader)
+        new = self.nodes[index] = Node(self, old.mirror.node, old.is_leader)
         self.set_interest(new)
         nursery.start_soon(new.run)
 
@@ -212,7 +215,7 @@
         node.batch_cache.set_interest(node.is_leader, models)
 
     async def write(self, batch_id, is_ended=False):
-        """Has a batch accepted by one node and its results listed by others."""
+        """Submits a batch to one node and appends its results at others."""
         items = [
             batch.Item(f"{batch_id}-{i}", "/", {}, b"body", 1, "g", None)
             for i in range(ITEMS)
@@ -224,10 +227,10 @@
         while True:
             batch_cache = self.rng.choice(self.nodes).batch_cache
             record = await batch_cache.find(batch_id, "o")
-            left = [i for i in items if not record.has_result(i.id)]
-            if not left:
+            unfinished = [i for i in items if not record.has_result(i.id)]
+            if not unfinished:
                 break
-            chosen = left[: self.rng.randint(1, 4)]
+            chosen = unfinished[: self.rng.randint(1, 4)]
             state = batch.ResultState.DONE
             results = [batch.Result(i.id, state, i.id) for i in chosen]
             await batch_cache.append([(record, records.Chunk(results))])
@@ -251,7 +254,7 @@
 
 
 class Pair:
-    """A leader that watches the store, and a node that follows it."""
+    """A leader that watches the store and a node that follows it."""
 
     def __init__(self, nursery):
         self.nursery = nursery
@@ -267,46 +270,46 @@
         for node in fleet.nodes:
             nursery.start_soon(node.run)
 
-    async def add(self, is_leader):
-        """Returns a further node that has read the store's keys."""
+    async def add_node(self, is_leader):
+        """Returns a new node that has loaded the store's keys."""
         node = Node(self.fleet, "late", is_leader)
         self.nursery.start_soon(node.mirror.run)
         await trio.sleep(1)
         return node
 
     async def accept(self, items=4, body=b"", node=None):
-        """Has a node accept a batch, the leader if none."""
-        made = [
+        """Submits a batch to a node, by default the leader."""
+        batch_items = [
             batch.Item(f"i{n}", "/", {}, body, 1, "g", None)
             for n in range(items)
         ]
-        new = batch.Batch("b", "o", "r", "h", 0, "alpha", 1, 1, made)
+        new = batch.Batch("b", "o", "r", "h", 0, "alpha", 1, 1, batch_items)
         await (node or self.leader).batch_cache.accept(new, 5.0)
 
-    async def list_one(self):
-        """Has the leader list one more result."""
+    async def append_result(self):
+        """Appends the next result at the leader."""
         record = self.leader.batch_cache.records["b"]
         item = f"i{len(record.results)}"
         result = batch.Result(item, batch.ResultState.DONE, item)
         chunk = records.Chunk([result])
         await self.leader.batch_cache.append([(record, chunk)])
 
-    def list_unheard(self):
-        """Has a first result listed in a history that no node is shown."""
+    def append_without_history(self):
+        """Writes the first result to the store without history for watches."""
         result = batch.Result("i0", batch.ResultState.DONE)
         value = records.encode(records.Chunk([result]))
-        self.store.write_unheard(records.result_key("b", 0), value)
+        self.store.write_without_history(records.result_key("b", 0), value)
 
     async def read(self, node=None):
-        """Returns how many results a node shows, the follower if none."""
+        """Returns how many results a node returns, by default the follower."""
         batch_cache = (node or self.follower).batch_cache
         record = await batch_cache.find("b", "o")
         return len(await batch_cache.read(record, 0, 0.0))
 
 
 @contextlib.asynccontextmanager
-async def opened_pair(items=4):
-    """Yields a leader and a follower that know of a batch, if it has items."""
+async def running_pair(items=4):
+    """Yields a leader and a follower with a batch, unless it has no items."""
     async with trio.open_nursery() as nursery:
         pair = Pair(nursery)
         await trio.sleep(1)
--- a/tests/batches/test_cache.py
+++ b/tests/batches/test_cache.py
@@ -1,4 +1,9 @@
-"""Books of several nodes that follow each other, by random schedules."""
+"""Batch caches of several nodes that follow each other.
+
+A cache that misses a change returns too few results. It can miss one after lost
+watch history, by a snapshot that is too old, or during a load. CacheScheduleTest
+searches for such cases with random schedules; BatchCacheTest covers known ones.
+"""
 
 import contextlib
 import unittest
@@ -15,7 +20,7 @@
 from tests.batches import fleets
 
 
-class BookScheduleTest(unittest.TestCase):
+class CacheScheduleTest(unittest.TestCase):
     @parameterized.parameterized.expand(
         [
             (f"{kind}_{seed}", seed, kind == "restarts")
@@ -27,7 +32,7 @@
         ]
     )
     @virtual.on_virtual_time
-    async def test_no_node_misses_a_result_of_what_it_holds(
+    async def test_no_node_lacks_a_result_of_a_cached_batch(
         self, _, seed, has_restarts
     ):
         fleet = fleets.Fleet(seed)
@@ -38,15 +43,15 @@
                 nursery.start_soon(node.run)
             await trio.sleep(2)
             nursery.start_soon(fleet.change_roles)
-            breaks = trio.CancelScope()
+            fault_scope = trio.CancelScope()
             if has_restarts:
-                nursery.start_soon(fleet.break_things, nursery, breaks)
+                nursery.start_soon(fleet.inject_faults, nursery, fault_scope)
             async with trio.open_nursery() as writers:
                 for batch_id in batch_ids:
                     writers.start_soon(fleet.write, batch_id, has_restarts)
                 for _ in range(3):
                     nursery.start_soon(fleet.read, batch_ids)
-            breaks.cancel()
+            fault_scope.cancel()
             await trio.sleep(4)
             for node in fleet.nodes:
                 for batch_id in batch_ids:
@@ -54,7 +59,7 @@
             nursery.cancel_scope.cancel()
 
     async def _check(self, node, batch_id):
-        # What a reader is shown, which may be brought up to date first.
+        # A read may refresh the record first, so check what it returns.
         record = await node.batch_cache.find(batch_id, "o")
         await node.batch_cache.read(record, 0, 0.0)
         self.assertEqual(len(record.results), fleets.ITEMS, batch_id)
@@ -62,39 +67,41 @@
         self.assertEqual(len(record.batch.items), fleets.ITEMS)
 
 
-class BookTest(unittest.TestCase):
+class BatchCacheTest(unittest.TestCase):
     @virtual.on_virtual_time
-    async def test_reader_hears_of_results_without_the_store(self):
-        async with fleets.opened_pair() as pair:
+    async def test_reader_gets_results_without_store_scans(self):
+        async with fleets.running_pair() as pair:
             self.assertEqual(await pair.read(), 0)
             scans = pair.store.scans
             for count in (1, 2, 3):
-                await pair.list_one()
+                await pair.append_result()
                 await trio.sleep(0.1)
                 self.assertEqual(await pair.read(), count)
             self.assertEqual(pair.store.scans, scans)
 
     @virtual.on_virtual_time
-    async def test_copy_older_than_the_mirror_is_not_taken(self):
-        async with fleets.opened_pair() as pair:
+    async def test_snapshot_older_than_the_mirror_is_rejected(self):
+        async with fleets.running_pair() as pair:
             record = pair.leader.batch_cache.records["b"]
             old = record.snapshot(pair.follower.mirror.revision)
-            await pair.list_one()
+            await pair.append_result()
             await trio.sleep(1)
 
-            async def fetch_old(batch_id):
+            async def fetch_old_snapshot(batch_id):
                 return old
 
-            pair.follower.batch_cache.fetcher.fetch_snapshot = fetch_old
+            pair.follower.batch_cache.fetcher.fetch_snapshot = (
+                fetch_old_snapshot
+            )
             self.assertEqual(await pair.read(), 1)
 
     @virtual.on_virtual_time
-    async def test_result_that_comes_during_a_load_is_shown(self):
-        async with fleets.opened_pair() as pair:
+    async def test_result_written_during_a_load_is_returned(self):
+        async with fleets.running_pair() as pair:
             copy = pair.leader.batch_cache.records["b"].snapshot(10**6)
 
             async def fetch_slowly(batch_id):
-                await pair.list_one()
+                await pair.append_result()
                 await trio.sleep(1)
                 return copy
 
@@ -102,12 +109,12 @@
             self.assertEqual(await pair.read(), 1)
 
     @virtual.on_virtual_time
-    async def test_results_of_lost_history_are_read(self):
-        async with fleets.opened_pair() as pair:
+    async def test_results_missing_from_the_history_are_read(self):
+        async with fleets.running_pair() as pair:
             await pair.read()
             pair.follower.is_leader = True
             await trio.sleep(1)
-            pair.list_unheard()
+            pair.append_without_history()
             await trio.sleep(1)
             self.assertEqual(await pair.read(), 1)
 
@@ -118,7 +125,7 @@
     async def test_batch_is_not_current_before_its_results_are_read(
         self, _, reader
     ):
-        async with fleets.opened_pair() as pair:
+        async with fleets.running_pair() as pair:
             scan = pair.store.scan
 
             async def scan_slowly(prefix, after=""):
@@ -127,13 +134,13 @@
                 return await scan(prefix, after)
 
             pair.store.scan = scan_slowly
-            pair.list_unheard()
+            pair.append_without_history()
             await trio.sleep(0.6)
             self.assertEqual(await pair.read(getattr(pair, reader)), 1)
 
     @virtual.on_virtual_time
     async def test_result_missed_during_a_load_is_read(self):
-        async with fleets.opened_pair() as pair:
+        async with fleets.running_pair() as pair:
             pair.follower.is_leader = True
             await trio.sleep(1)
             copy = pair.leader.batch_cache.records["b"].snapshot(
@@ -141,7 +148,7 @@
             )
 
             async def fetch_slowly(batch_id):
-                pair.list_unheard()
+                pair.append_without_history()
                 await trio.sleep(2)
                 return copy
 
@@ -149,15 +156,15 @@
             self.assertEqual(await pair.read(), 1)
 
     @virtual.on_virtual_time
-    async def test_late_acceptance_does_not_hide_results_of_before(self):
-        async with fleets.opened_pair(items=0) as pair:
-            late = await pair.add(is_leader=True)
+    async def test_late_commit_response_does_not_hide_earlier_results(self):
+        async with fleets.running_pair(items=0) as pair:
+            late = await pair.add_node(is_leader=True)
             commit = pair.store.commit
 
             async def commit_slowly(transaction):
                 pair.store.lost_at = pair.store.revision + 1
                 revision = await commit(transaction)
-                pair.list_unheard()
+                pair.append_without_history()
                 await trio.sleep(2)
                 return revision
 
@@ -167,8 +174,8 @@
 
     @virtual.on_virtual_time
     async def test_closed_batch_is_read_from_the_store_by_one_node(self):
-        async with fleets.opened_pair(items=1) as pair:
-            await pair.list_one()
+        async with fleets.running_pair(items=1) as pair:
+            await pair.append_result()
             await trio.sleep(1)
             pair.leader.batch_cache.records.clear()
             self.assertEqual(await pair.read(), 1)
@@ -176,60 +183,62 @@
 
     @virtual.on_virtual_time
     async def test_two_writers_get_two_positions(self):
-        async with fleets.opened_pair() as pair:
+        async with fleets.running_pair() as pair:
             await pair.read()
-            finished_items = []
+            is_written = []
 
-            async def list_item(node, item):
+            async def append_item(node, item):
                 record = node.batch_cache.records["b"]
                 result = batch.Result(item, batch.ResultState.DONE, item)
                 chunk = records.Chunk([result])
-                finished_items.append(
+                is_written.append(
                     await node.batch_cache.append([(record, chunk)])
                 )
 
             async with trio.open_nursery() as writers:
-                writers.start_soon(list_item, pair.leader, "i0")
-                writers.start_soon(list_item, pair.follower, "i1")
-            self.assertEqual(sorted(finished_items), [False, True])
+                writers.start_soon(append_item, pair.leader, "i0")
+                writers.start_soon(append_item, pair.follower, "i1")
+            self.assertEqual(sorted(is_written), [False, True])
             await trio.sleep(1)
             self.assertEqual(await pair.read(), 1)
 
     @virtual.on_virtual_time
     async def test_old_closed_batch_is_removed_from_the_store(self):
-        async with fleets.opened_pair(items=1) as pair:
-            keeper = retention.Retention(
+        async with fleets.running_pair(items=1) as pair:
+            batch_retention = retention.Retention(
                 pair.leader.batch_cache, pair.leader.clock
             )
             await trio.sleep(20)
-            await keeper.remove_older_than(10.0)
+            await batch_retention.remove_older_than(10.0)
             self.assertTrue(pair.store.entries)
-            await pair.list_one()
+            await pair.append_result()
             await trio.sleep(1)
-            await keeper.remove_older_than(10.0)
+            await batch_retention.remove_older_than(10.0)
             self.assertEqual(pair.store.entries, {})
 
     @virtual.on_virtual_time
-    async def test_old_open_batch_stays_though_it_is_not_known_yet(self):
-        async with fleets.opened_pair() as pair:
+    async def test_old_open_batch_is_kept_if_it_is_not_cached(self):
+        async with fleets.running_pair() as pair:
             await trio.sleep(20)
-            # As on a node that has just come to lead the service.
+            # This is the state of a node that has just become the leader.
             pair.leader.batch_cache.records.clear()
-            keeper = retention.Retention(
+            batch_retention = retention.Retention(
                 pair.leader.batch_cache, pair.leader.clock
             )
-            await keeper.remove_older_than(10.0)
+            await batch_retention.remove_older_than(10.0)
             self.assertEqual(len(pair.store.entries), 1)
 
     @virtual.on_virtual_time
-    async def test_batch_whose_end_is_known_is_not_opened_by_an_old_copy(self):
-        async with fleets.opened_pair() as pair:
+    async def test_old_snapshot_does_not_reopen_an_ended_batch(self):
+        async with fleets.running_pair() as pair:
             open_copy = pair.leader.batch_cache.records["b"].snapshot(10**6)
 
-            async def fetch_old(batch_id):
+            async def fetch_old_snapshot(batch_id):
                 return open_copy
 
-            pair.follower.batch_cache.fetcher.fetch_snapshot = fetch_old
+            pair.follower.batch_cache.fetcher.fetch_snapshot = (
+                fetch_old_snapshot
+            )
             await pair.leader.batch_cache.end(
                 pair.leader.batch_cache.records["b"], 5.0
             )
@@ -241,13 +250,11 @@
         [("watches_the_store", True), ("follows_a_node", False)]
     )
     @virtual.on_virtual_time
-    async def test_end_does_not_make_a_batch_of_before_the_start_new(
-        self, _, is_leader
-    ):
-        async with fleets.opened_pair(items=2) as pair:
-            await pair.list_one()
+    async def test_end_does_not_make_an_existing_batch_new(self, _, is_leader):
+        async with fleets.running_pair(items=2) as pair:
+            await pair.append_result()
             await trio.sleep(1)
-            late = await pair.add(is_leader)
+            late = await pair.add_node(is_leader)
             late.batch_cache.set_interest(True, frozenset())
             await pair.leader.batch_cache.end(
                 pair.leader.batch_cache.records["b"], 5.0
@@ -260,11 +267,11 @@
             self.assertTrue(record.is_ended)
 
     @virtual.on_virtual_time
-    async def test_items_read_half_before_an_end_are_read_again(self):
-        async with fleets.opened_pair(items=0) as pair:
+    async def test_items_are_read_again_if_the_batch_ends_meanwhile(self):
+        async with fleets.running_pair(items=0) as pair:
             await pair.accept(items=4, body=bytes(30_000))
             await trio.sleep(1)
-            late = await pair.add(is_leader=True)
+            late = await pair.add_node(is_leader=True)
             leader = pair.leader.batch_cache
             scan = pair.store.scan
 
@@ -280,8 +287,8 @@
 
     @parameterized.parameterized.expand([("none",), ("refused",)])
     @virtual.on_virtual_time
-    async def test_batch_that_comes_during_a_vain_load_is_taken_up(self, how):
-        async with fleets.opened_pair(items=0) as pair:
+    async def test_batch_accepted_during_a_failed_load_is_cached(self, how):
+        async with fleets.running_pair(items=0) as pair:
             scan = pair.store.scan
 
             async def scan_slowly(prefix, after=""):
@@ -293,18 +300,18 @@
 
             pair.store.scan = scan_slowly
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._load_in_vain, pair.leader)
+                nursery.start_soon(self._load_and_fail, pair.leader)
                 await trio.sleep(0.5)
                 await pair.accept(node=pair.follower)
             self.assertIn("b", pair.leader.batch_cache.records)
 
-    async def _load_in_vain(self, node):
+    async def _load_and_fail(self, node):
         with contextlib.suppress(errors.ServiceError):
             await node.batch_cache.load("b", is_read=True, asks_nodes=False)
 
     @virtual.on_virtual_time
-    async def test_readers_of_unknown_batches_do_not_make_the_mirror_old(self):
-        async with fleets.opened_pair(items=0) as pair:
+    async def test_reads_of_unknown_batches_keep_the_mirror_current(self):
+        async with fleets.running_pair(items=0) as pair:
             for number in range(60):
                 await pair.follower.batch_cache.load(
                     f"none-{number}", is_read=True
@@ -322,7 +329,9 @@
             ("gap_that_closes", [1, 0], False, 2),
         ]
     )
-    def test_gap_is_noticed(self, _, positions, is_current, count):
+    def test_gap_in_positions_is_detected(
+        self, _, positions, is_current, count
+    ):
         new = batch.Batch("b", "o", "r", "h", 0, "alpha", 1, 1, [])
         record = records.Record(new, 0)
         for position in positions:
--- a/tests/platform/test_batches.py
+++ b/tests/platform/test_batches.py
@@ -1,4 +1,8 @@
-"""Batches before the platform's stand-in, under faults."""
+"""Batches on a simulated platform, with faults of nodes, servers and store.
+
+Guards against results that are lost, written twice or generated again after a
+node, a backend server or the store has failed.
+"""
 
 import contextlib
 import unittest
@@ -29,7 +33,7 @@
             self.assertEqual(site.violations, [])
 
     @virtual.on_virtual_time
-    async def test_repeated_batch_is_kept_once(self):
+    async def test_repeated_submission_is_stored_once(self):
         async with harness.launch() as site:
             for node in (*site.nodes, *site.nodes):
                 self.assertEqual((await site.submit(node)).status, 202)
@@ -60,7 +64,7 @@
             self.assertEqual((status, page["total"]), (200, 12))
 
     @virtual.on_virtual_time
-    async def test_leader_lost_is_followed_without_double_positions(self):
+    async def test_failover_assigns_no_position_twice(self):
         async with harness.launch(nodes=3) as site:
             leader = site.holder()
             reader = site.other(leader)
@@ -78,7 +82,7 @@
 
     @parameterized.parameterized.expand([("killed",), ("stopped",), ("cut",)])
     @virtual.on_virtual_time
-    async def test_texts_go_on_after_a_takeover(self, how):
+    async def test_texts_are_resumed_after_a_takeover(self, how):
         async with harness.launch(nodes=3) as site:
             leader = site.holder()
             reader = site.other(leader)
@@ -103,7 +107,7 @@
             self.assertEqual([r for r in later if not r.resumed_after], [])
 
     @virtual.on_virtual_time
-    async def test_node_that_the_store_turns_away_serves_batches(self):
+    async def test_node_without_store_access_serves_batches(self):
         async with harness.launch(nodes=3) as site:
             node = site.other(site.holder())
             site.network.cut(node.name, "store")
@@ -117,7 +121,7 @@
             self.assertEqual(status, 404)
 
     @virtual.on_virtual_time
-    async def test_stand_in_runs_batches_while_the_store_is_down(self):
+    async def test_standby_runs_batches_while_the_store_is_down(self):
         async with harness.launch(nodes=3) as site:
             leader = site.holder()
             reader = site.other(leader)
@@ -142,7 +146,7 @@
             self.assertTrue(meanwhile)
 
     @virtual.on_virtual_time
-    async def test_two_who_think_they_lead_list_each_item_once(self):
+    async def test_two_leaders_write_each_result_once(self):
         async with harness.launch(nodes=3) as site:
             leader = site.holder()
             for node in site.nodes:
@@ -154,13 +158,13 @@
             results = await site.read_all(reader)
             self.assertEqual(len({r["id"] for r in results}), 16)
             self.assertEqual(len(results), 16)
-            # Other nodes may be this far behind a position that was read.
+            # Other nodes may lag behind a position that was read by up to 1 s.
             await trio.sleep(1)
             _, page = await site.read(leader)
             self.assertEqual(page["results"], results)
 
     @virtual.on_virtual_time
-    async def test_silent_stream_goes_on_elsewhere_after_its_last_event(self):
+    async def test_stalled_stream_is_resumed_on_another_server(self):
         async with harness.launch() as site:
             site.servers["e1"].stall_after = 4
             await site.submit(site.nodes[0], items=6)
@@ -173,7 +177,7 @@
             self.assertEqual({r.server for r in resumed}, {"e2"})
 
     @virtual.on_virtual_time
-    async def test_text_with_a_gap_goes_on_before_the_gap(self):
+    async def test_text_with_a_gap_is_resumed_before_the_gap(self):
         async with harness.launch() as site:
             whole = site.servers["e1"].stream
 
@@ -193,7 +197,7 @@
             )
 
     @virtual.on_virtual_time
-    async def test_score_is_no_signature_of_a_failure(self):
+    async def test_signature_of_a_failed_response_is_not_a_score(self):
         async with harness.launch() as site:
             for name in ("p1", "p2"):
                 site.servers[name].statuses = [500] * 50
@@ -202,7 +206,7 @@
             self.assertEqual(result["state"], "errored")
 
     @virtual.on_virtual_time
-    async def test_slow_engine_is_left_for_a_faster_one(self):
+    async def test_samples_move_from_a_slow_engine_to_a_faster_one(self):
         async with harness.launch() as site:
             for server in site.servers.values():
                 server.length = 60
@@ -221,7 +225,9 @@
         ]
     )
     @virtual.on_virtual_time
-    async def test_item_that_cannot_be_done(self, _, status, most, least):
+    async def test_item_that_always_fails_is_errored(
+        self, _, status, most, least
+    ):
         async with harness.launch() as site:
             for name in ("e1", "e2"):
                 site.servers[name].statuses = [status] * 50
--- a/tests/platform/test_submissions.py
+++ b/tests/platform/test_submissions.py
@@ -1,4 +1,9 @@
-"""What becomes of a batch that is sent."""
+"""Responses to a submitted batch.
+
+Guards against an invalid batch that is stored, and against a response that
+contradicts the store: a batch reported as refused that runs nevertheless, or
+reported as unknown while the store cannot be read.
+"""
 
 import unittest
 
@@ -99,7 +104,9 @@
         ]
     )
     @virtual.on_virtual_time
-    async def test_bad_batch_changes_nothing(self, _, body, status):
+    async def test_invalid_batch_is_rejected_and_not_stored(
+        self, _, body, status
+    ):
         async with harness.launch(nodes=1) as site:
             revision = site.store.revision
             response = await site.call(
@@ -126,7 +133,7 @@
         ]
     )
     @virtual.on_virtual_time
-    async def test_unknown_fields_are_left_out(self, _, body):
+    async def test_unknown_fields_are_ignored(self, _, body):
         async with harness.launch(nodes=1) as site:
             response = await site.call(
                 site.nodes[0],
@@ -138,24 +145,24 @@
             self.assertEqual(response.status, 202)
 
     @virtual.on_virtual_time
-    async def test_batch_waits_for_the_store_and_is_then_kept(self):
+    async def test_submission_waits_until_the_store_returns(self):
         async with trio.open_nursery() as nursery:
             site = harness.Site(nursery)
             await site.start()
             site.store.is_down = True
 
-            async def come_back():
+            async def restore_store():
                 await trio.sleep(3)
                 site.store.is_down = False
 
-            nursery.start_soon(come_back)
+            nursery.start_soon(restore_store)
             response = await site.submit(site.nodes[0])
             self.assertEqual(response.status, 202)
             self.assertEqual(len(await site.read_all(site.nodes[1])), 4)
             nursery.cancel_scope.cancel()
 
     @virtual.on_virtual_time
-    async def test_refusal_without_the_store_is_true_and_names_a_time(self):
+    async def test_refused_batch_is_not_run_and_has_retry_after(self):
         async with harness.launch() as site:
             site.store.is_down = True
             response = await site.submit(site.nodes[0])
@@ -166,7 +173,7 @@
             self.assertEqual(site.runs, [])
 
     @virtual.on_virtual_time
-    async def test_batch_that_may_be_kept_is_not_said_to_be_refused(self):
+    async def test_batch_that_may_be_stored_is_not_reported_refused(self):
         async with harness.launch() as site:
             site.store.drops_commit_responses = True
             response = await site.submit(site.nodes[0])
@@ -195,7 +202,7 @@
                 self.assertEqual(response.status, status)
 
     @virtual.on_virtual_time
-    async def test_unknown_batch_without_the_store_is_no_404(self):
+    async def test_unknown_batch_without_the_store_is_not_a_404(self):
         async with harness.launch() as site:
             site.store.is_down = True
             status, _ = await site.read(site.nodes[0], "b9")
