--- a/tests/batches/test_cache.py
+++ b/tests/batches/test_cache.py
@@ -1,8 +1,9 @@
 """Batch caches of several nodes that follow each other.
 
-A cache that misses a change returns too few results. It can miss one after lost
-watch history, by a snapshot that is too old, or during a load. CacheScheduleTest
-searches for such cases with random schedules; BatchCacheTest covers known ones.
+A cache that misses a change returns too few results. That can happen after lost
+watch history, by a snapshot that is too old, or during a load.
+CacheScheduleTest searches for such cases with random schedules, BatchCacheTest
+covers the known ones.
 """
 
 import contextlib
