--- a/src/kingcupscale/fleet/__init__.py
+++ b/src/kingcupscale/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What operators and backend servers say of themselves, as nodes see it."""
+"""What a node knows of its environment: configuration, servers, other nodes."""
--- a/src/kingcupscale/fleet/catalogue.py
+++ b/src/kingcupscale/fleet/catalogue.py
@@ -1,4 +1,4 @@
-"""What operators have configured: routes, services, organisations' keys."""
+"""The configuration that operators set: routes, services and organisations."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated on a route."""
+    """Whether the requests of a route may be repeated."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -15,7 +15,12 @@
 
 @attrs.frozen
 class Share:
-    """A part of a route's requests that goes to one service."""
+    """The share of a route's requests that one service gets.
+
+    Attributes:
+        service: Name of the service.
+        weight: Weight of the service relative to the route's other shares.
+    """
 
     service: str
     weight: float
@@ -23,24 +28,25 @@
 
 @attrs.frozen
 class Route:
-    """Requests of a host under a path prefix.
+    """Configuration of the requests to a host under a path prefix.
 
     Attributes:
-        name: The operator's name for it.
+        name: Name of the route.
         host: Host header, lower case.
-        path_prefix: Begins and ends with a slash.
-        kind: What may be repeated.
-        shares: The services its requests go to.
-        timeout_s: Longest that a request may be kept waiting.
-        target_latency_s: Time within which an answer is wanted.
-        priority: Rank; 0 is the most urgent.
-        max_attempts: Most servers that one request may be sent to.
+        path_prefix: Path prefix; begins and ends with a slash.
+        kind: Whether its requests may be repeated.
+        shares: The services that get its requests, with their weights.
+        timeout_s: Time limit of a request.
+        target_latency_s: Target for the latency of a response.
+        priority: Priority; 0 is the most urgent.
+        max_attempts: Most attempts of one request.
         is_open: Whether requests need no key.
-        is_streaming: Whether answers are event streams.
-        is_resumable: Whether a stream may go on at another server.
-        max_age_s: Seconds after which an item of a batch may be given up.
+        is_streaming: Whether responses are event streams.
+        is_resumable: Whether another server may resume a stream.
+        max_age_s: Seconds after which an item of a batch may be dropped.
         due_s: Seconds after which a batch's results are due.
-        single_version: Whether a text must come from one weight version.
+        single_version: Whether the whole text of an item must come from one
+            weight version.
     """
 
     name: str
@@ -60,7 +66,7 @@
     single_version: bool = False
 
     def allows_retry(self) -> bool:
-        """Tells whether a request may run more than once."""
+        """Returns whether a request may be sent more than once."""
         if self.is_streaming:
             return self.is_resumable
         return self.kind is not RouteKind.NON_IDEMPOTENT
@@ -68,15 +74,15 @@
 
 @attrs.frozen
 class Scaling:
-    """Bounds of what may be ordered for a service in one zone.
+    """Limits of autoscaling for a service in one zone.
 
     Attributes:
         minimum: Fewest servers.
-        maximum: Most servers, of both kinds together.
-        boot_s: Seconds until an ordered server serves.
-        spot_price: Price of a reclaimable server, as a share of the price of
-            a lasting one; None if there are none.
-        zone_prices: Price of a server second by zone.
+        maximum: Most servers, spot and on-demand together.
+        boot_s: Seconds from the order of a server until it serves requests.
+        spot_price: Price of a spot server as a share of the on-demand price;
+            None if there are no spot servers.
+        zone_prices: Price per server and second, by zone.
     """
 
     minimum: int
@@ -88,14 +94,15 @@
 
 @attrs.frozen
 class Service:
-    """Backend servers that can stand in for each other.
+    """A group of interchangeable backend servers.
 
     Attributes:
-        name: Its name.
-        max_connections: Connections that one server accepts.
-        slots: Requests that a model engine runs at once; 0 for plain servers.
-        models: Names of the models that its engines hold.
-        scaling: What may be ordered; None if nothing may be.
+        name: Name of the service.
+        max_connections: Most connections that one server accepts.
+        slots: Requests that a model engine runs concurrently; 0 for servers
+            without a model.
+        models: Names of the models that its engines serve.
+        scaling: Limits of autoscaling; None if it is not autoscaled.
     """
 
     name: str
@@ -107,13 +114,13 @@
 
 @attrs.frozen
 class Limits:
-    """What a caller may send, and how long it may take.
+    """Limits on the requests and connections of callers.
 
     Attributes:
-        header_bytes: Largest request head.
-        body_bytes: Largest body.
-        header_s: Seconds for a head to arrive.
-        idle_s: Seconds that a connection may stay idle.
+        header_bytes: Largest size of request line and headers.
+        body_bytes: Largest request body.
+        header_s: Timeout for receiving the headers.
+        idle_s: Timeout of idle connections.
     """
 
     header_bytes: int = 32 * 1024
@@ -124,12 +131,12 @@
 
 @attrs.frozen
 class Organisation:
-    """A customer and its keys.
+    """A customer and its API keys.
 
     Attributes:
-        name: Its label, which backend servers may see.
-        keys: Its keys, which they may not.
-        priority: Rank that overrides its routes'; None to leave theirs.
+        name: Its label. Backend servers may see it.
+        keys: Its API keys. Backend servers must never see them.
+        priority: Overrides the priority of the routes; None to keep theirs.
     """
 
     name: str
@@ -142,11 +149,13 @@
     """One version of the configuration.
 
     Attributes:
-        version: Its number, which only grows.
+        version: Version number, which only increases.
         routes: All routes.
         services: Services by name.
-        organisations: Organisations by name; empty if keys aren't in use.
-        limits: What callers may send.
+        organisations: Organisations by name; empty if no keys are in use.
+        limits: Limits on callers' requests.
+        by_host: Routes by host, those with the longest prefix first.
+        by_key: Organisations by API key.
     """
 
     version: int
@@ -175,18 +184,18 @@
         }
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Returns the route with the longest prefix that begins a path."""
+        """Returns the route with the longest prefix that matches a path."""
         for route in self.by_host.get(host.lower(), ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
 
     def find_organisation(self, key: str) -> Organisation | None:
-        """Returns the organisation that holds a key."""
+        """Returns the organisation that a key belongs to."""
         return self.by_key.get(key)
 
     def routes_to(self, service: str) -> list[Route]:
-        """Returns the routes that have a share at a service."""
+        """Returns the routes that send requests to a service."""
         return [
             route
             for route in self.routes
@@ -195,5 +204,5 @@
 
 
 def is_newer(candidate: Catalogue, present: Catalogue | None) -> bool:
-    """Tells whether a configuration may replace the present one."""
+    """Returns whether a configuration may replace the present one."""
     return present is None or candidate.version > present.version
--- a/src/kingcupscale/fleet/peers.py
+++ b/src/kingcupscale/fleet/peers.py
@@ -1,4 +1,4 @@
-"""The other nodes: which one to follow, and which ones do not answer."""
+"""The other nodes: their addresses, which respond, and requests to them."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -18,34 +18,34 @@
 from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 
-# A node that did not answer, or has an old mirror itself, is not asked again
-# for this long, so that others are asked meanwhile.
+# A node that did not respond, or whose own mirror is outdated, is not asked
+# again for this long, so that other nodes are asked meanwhile.
 RETRY_PAUSE_S = 0.6
-# A node that does not answer for this long is taken for dead by those who are
-# to run its batches meanwhile; running them twice does no harm.
+# A node that does not respond for this long is considered dead, and another
+# node runs its batches meanwhile. Running an item twice does no harm.
 UNRESPONSIVE_AFTER_S = 0.7
-# A node that a copy could not be sent to gets none for this long.
+# After a copy could not be sent to a node, it gets none for this long.
 SEND_FAILURE_PAUSE_S = 3.0
-# Nodes that are asked to write for this one before it gives up.
+# Most nodes that are asked to commit a transaction for this node.
 MAX_COMMIT_PEERS = 2
 
 
 class Peers:
-    """What a node knows of the others.
+    """Tracks the other nodes, and sends requests to those that respond.
 
     Args:
-        node: This node's name.
-        client: Asks other nodes for changes.
-        commits_client: Has other nodes write to the store.
-        clock: Tells the time.
-        rng: Decides among equals.
+        node: Name of this node.
+        client: Fetches changes and batches from other nodes.
+        commits_client: Sends transactions that other nodes commit.
+        clock: The clock.
+        rng: Chooses among nodes of equal rank.
         watching_duties: Returns the duties whose holders watch the store.
 
     Attributes:
-        answered_at: Monotonic time of the last answer of any node.
-        mirror: The mirror that tells of the nodes; set once it exists.
-        unresponsive_since: Monotonic time of the first unanswered call, by
-            node.
+        answered_at: Monotonic time of the last response of any node.
+        mirror: The mirror that holds the nodes' entries; set once it exists.
+        unresponsive_since: Monotonic time of the first call without a
+            response, by node.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
         return self.holder_and_lease(duty).partition(" ")[0]
 
     def holder_and_lease(self, duty: str) -> str:
-        """Returns the node that holds a duty and its lease; empty for none."""
+        """Returns a duty's holder and its lease as text; empty for none."""
         entry = (
             self.mirror.entries.get(locks.DUTIES_PREFIX + duty)
             if self.mirror
@@ -97,18 +97,18 @@
     def leaders(self) -> list[str]:
         """Returns the other nodes that watch the store, in a fixed order.
 
-        Only these are followed: nodes that follow each other would pass on
-        what each of them has heard from the other.
+        Changes are fetched from these only: nodes that fetch from each other
+        would only return each other's changes.
         """
         names = [self.holder(duty) for duty in sorted(self.watching_duties())]
         return [n for n in dict.fromkeys(names) if n and n != self.node]
 
     def peer_answered_at(self) -> float | None:
-        """Returns when any node last answered; None if no other is known."""
+        """Returns when any node last responded; None if no other is known."""
         return self.answered_at if self.addresses() else None
 
     def is_unresponsive(self, node: str) -> bool:
-        """Tells whether a node has not answered for a while."""
+        """Returns whether a node has not responded for a while."""
         since = self.unresponsive_since.get(node)
         return (
             since is not None
@@ -121,12 +121,14 @@
         interest: interests.Interest,
         any_node: bool,
     ) -> changelog.Changes | None:
-        """Returns another node's changes, a leader's if possible.
+        """Fetches changes from another node, from a leader if possible.
+
+        Returns None if no node responds with changes.
 
         Args:
-            position: How far this node has read.
-            interest: The batches that it wants to be told in full.
-            any_node: Whether nodes that lead nothing will do as well.
+            position: Position up to which this node has read the changes.
+            interest: The batches of which it needs the full entries.
+            any_node: Whether to ask nodes that are not leaders, too.
         """
         addresses = self.addresses()
         names = [name for name in self.leaders() if name in addresses]
@@ -145,7 +147,7 @@
     async def fetch_copy(
         self, batch_id: str, nodes: list[str]
     ) -> records.RecordSnapshot | None:
-        """Returns a batch as the first of some nodes that has it knows it."""
+        """Returns a batch's snapshot from the first given node that has it."""
         addresses = self.addresses()
         for name in nodes:
             if name not in addresses or self.is_unresponsive(name):
@@ -167,10 +169,12 @@
     async def commit(
         self, transaction: stores.Transaction
     ) -> tuple[int | None] | None:
-        """Has another node write; None if there is none to ask.
+        """Has another node commit a transaction.
+
+        Returns the revision in a tuple, or None if there is no node to ask.
 
         Raises:
-            StoreError: If the last node that was asked did not succeed.
+            StoreError: If all nodes that were asked failed.
         """
         addresses = self.addresses()
         names = [name for name in self.leaders() if name in addresses]
@@ -184,8 +188,10 @@
                     addresses[name], transaction
                 )
             except stores.StoreError as e:
-                ran = e.may_have_run or bool(failure and failure.may_have_run)
-                failure = stores.StoreError(f"{name}: {e.reason}", ran)
+                may_have_run = e.may_have_run or bool(
+                    failure and failure.may_have_run
+                )
+                failure = stores.StoreError(f"{name}: {e.reason}", may_have_run)
             else:
                 return (revision,)
         if failure is not None:
@@ -193,7 +199,7 @@
         return None
 
     async def probe(self, node: str) -> None:
-        """Finds out whether a node that was expected to be heard of lives."""
+        """Probes a node from which an expected message is overdue."""
         address = self.addresses().get(node)
         if address is None:
             return
@@ -202,19 +208,23 @@
         except calls.PeerError as e:
             if node not in self.unresponsive_since:
                 events.log(events.Event.PEER_SILENT, peer=node, reason=e.reason)
-            # It has not been heard of for a while before it was asked.
+            # It is considered unresponsive at once, because its message was
+            # already overdue before the probe.
             since = self.clock.monotonic() - 2 * UNRESPONSIVE_AFTER_S
             self.unresponsive_since.setdefault(node, since)
             return
         self.mark_responsive(node)
 
     def mark_responsive(self, node: str) -> None:
-        """Notes that a node has answered, or called by itself."""
+        """Records that a node has responded, or has sent a request itself."""
         if self.unresponsive_since.pop(node, None) is not None:
             events.log(events.Event.PEER_BACK, peer=node)
 
     def first_reachable(self, ranking: list[str]) -> tuple[str, str] | None:
-        """Returns the first other node of a ranking that answers."""
+        """Returns the first node of a ranking that is responsive.
+
+        Returns its name and address; None if there is none.
+        """
         addresses = self.addresses()
         now = self.clock.monotonic()
         for name in ranking:
@@ -228,7 +238,7 @@
         return None
 
     def mark_send_failed(self, node: str) -> None:
-        """Notes that nothing could be sent to a node, which may be gone."""
+        """Records that a copy could not be sent to a node."""
         self.failed_until[node] = self.clock.monotonic() + SEND_FAILURE_PAUSE_S
 
     async def _ask(
--- a/src/kingcupscale/fleet/registry.py
+++ b/src/kingcupscale/fleet/registry.py
@@ -1,4 +1,4 @@
-"""The backend servers that take work, as one node sees them."""
+"""The registry of backend servers that one node knows."""
 
 from collections.abc import Callable
 import enum
@@ -8,22 +8,23 @@
 from kingcupscale import clock as clocks
 from kingcupscale import events
 
-# After the store's return, servers have this long to enter themselves again
-# before a missing entry means that they are gone.
+# After the store has recovered, servers have this long to register again before
+# a missing entry means that they are gone.
 REREGISTRATION_S = 2.3
-# A server that failed is left alone for a moment, longer each time in a row.
+# A server that fails is ejected for this long; the time doubles with each
+# consecutive failure.
 MIN_EJECTION_S = 0.4
 MAX_EJECTION_S = 5.0
-# Weight of the newest answer in the mean of a server's relative_latency.
+# Weight of the newest response in the moving average of the relative latency.
 LATENCY_WEIGHT = 0.15
-# What an answer told of other nodes' requests fades within this time.
+# The reported load of other nodes decays linearly to zero within this time.
 LOAD_DECAY_S = 1.0
-# Servers that are remembered to be leaving, by their start.
-MAX_REMEMBERED_LEAVING = 1000
+# Most removed servers whose leaving notice is kept.
+MAX_LEAVING_STARTS = 1000
 
 
 class ServerState(enum.Enum):
-    """What a server says of itself."""
+    """Whether a server accepts new requests, as it reports itself."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -31,7 +32,7 @@
 
 @attrs.frozen
 class ServerEntry:
-    """What a backend server says of itself.
+    """A backend server's own entry in the store.
 
     Attributes:
         id: Its identity.
@@ -43,8 +44,8 @@
         start_ms: Start time in milliseconds since 1970. A different value
             under the same id means that the server has restarted.
         versions: Weight version by model.
-        is_spot: Whether it may be reclaimed.
-        warmup_s: Seconds for which it stays slow after its start.
+        is_spot: Whether its VM is a spot VM, which may be reclaimed.
+        warmup_s: Seconds for which it is still slow after its start.
     """
 
     id: str
@@ -61,13 +62,14 @@
 
 @attrs.define(eq=False)
 class Server:
-    """A backend server and what this node has learnt of it.
+    """A backend server and its state as this node has observed it.
 
     Attributes:
-        entry: What it says of itself.
+        entry: Its own entry in the store.
         in_flight: Requests of this node that run there.
-        other_requests: Requests of other nodes there when it last answered.
-        load_reported_at: Monotonic time of that answer.
+        other_requests: Requests of other nodes there, by the last response
+            that reported a load.
+        load_reported_at: Monotonic time of that response.
         failures: Failures in a row.
         ejected_until: Monotonic time before which it gets nothing.
         versions: Weight version by model, from entries, orders and answers.
@@ -79,8 +81,8 @@
             samples of the model because it is loading weights for it.
         loading_until: Monotonic time until which runs may have to wait,
             because it is loading weights.
-        is_leaving: Whether an answer said that it is about to end; what its
-            entry says later does not change that.
+        is_leaving: Whether a response said that it is about to shut down. A
+            later entry does not change that.
         is_removed: Whether its entry has been removed.
         removed_at: Monotonic time at which the entry went missing.
     """
@@ -106,7 +108,7 @@
         return self.entry.id
 
     def is_usable(self, now: float) -> bool:
-        """Tells whether it may get work at a monotonic time."""
+        """Returns whether requests may be sent to it at a monotonic time."""
         return (
             not self.is_removed
             and not self.is_leaving
@@ -122,34 +124,40 @@
         )
 
     def update_load(self, load: int, now: float) -> None:
-        """Takes over how many requests an answer said to be there."""
+        """Records the number of requests on it that a response reported."""
         self.other_requests = max(0, load - self.in_flight)
         self.load_reported_at = now
 
     def update_relative_latency(self, ratio: float) -> None:
-        """Takes over how long an answer took against what was expected."""
+        """Records the latency of a response.
+
+        Args:
+            ratio: The latency divided by the expected latency.
+        """
         self.relative_latency += LATENCY_WEIGHT * (
             min(ratio, 10.0) - self.relative_latency
         )
 
     def record_success(self) -> None:
-        """Ends a row of failures."""
+        """Records a success, which resets the failures and the ejection."""
         self.failures = 0
         self.ejected_until = 0.0
 
     def mark_leaving(self) -> None:
-        """Gives the server no more work, as an answer said that it leaves.
+        """Records that a response announced the shutdown of the server.
 
-        A restart under the same id is another server and takes work again.
+        It gets no more requests. A server that restarts under the same id is
+        a different server and gets requests again.
         """
         if not self.is_leaving:
             self.is_leaving = True
             events.log(events.Event.SERVER_LEAVING, server=self.id)
 
     def record_failure(self, now: float) -> None:
-        """Leaves the server alone for a while, longer each time in a row.
+        """Records a failure and ejects the server for a while.
 
-        Calls that were under way together fail together; they count once.
+        Failures while it is ejected are not counted, because requests that
+        were in flight together usually fail together.
         """
         if now < self.ejected_until:
             return
@@ -165,16 +173,21 @@
 
 
 class ServerRegistry:
-    """All backend servers that are entered in the store.
+    """The backend servers that have an entry in the store.
+
+    An entry that disappears removes its server only if the store is reachable
+    and has been for a while: entries also expire while the store is out of
+    reach, although their servers still run.
 
     Args:
-        clock: Tells the time.
-        recovered_at: Tells when the store last came back, monotonic.
-        is_store_unreachable: Tells whether the store is out of reach.
+        clock: The clock.
+        recovered_at: Returns the monotonic time of the store's last recovery.
+        is_store_unreachable: Returns whether the store is out of reach.
 
     Attributes:
         servers: The servers by id.
-        leaving: Starts of dropped servers that were leaving, by id.
+        leaving_starts: Start times of removed servers that were leaving, by
+            id.
     """
 
     def __init__(
@@ -190,7 +203,7 @@
         self.leaving_starts: dict[str, int] = {}
 
     def register(self, entry: ServerEntry) -> None:
-        """Takes over what a server says of itself."""
+        """Adds a server, or updates it, by its entry in the store."""
         known = self.servers.get(entry.id)
         if known is None or known.entry.start_ms != entry.start_ms:
             if known is not None:
@@ -221,18 +234,18 @@
             known.versions[model] = max(known.versions.get(model, 0), version)
 
     def remove(self, server_id: str) -> None:
-        """Notes that a server's entry has been removed."""
+        """Records that a server's entry has been removed from the store."""
         known = self.servers.get(server_id)
         if known is None:
             return
         now = self.clock.monotonic()
         known.removed_at = now
-        has_settled = now - self.recovered_at() > REREGISTRATION_S
-        if has_settled and not self.is_store_unreachable():
+        is_settled = now - self.recovered_at() > REREGISTRATION_S
+        if is_settled and not self.is_store_unreachable():
             self._drop(known)
 
     def remove_expired(self) -> None:
-        """Drops servers that did not enter themselves again in time."""
+        """Removes servers that did not register again in time."""
         if self.is_store_unreachable():
             return
         now = self.clock.monotonic()
@@ -245,16 +258,20 @@
     def _drop(self, server: Server) -> None:
         server.is_removed = True
         if server.is_leaving:
-            self._remember_leaving(server)
+            self._keep_leaving_start(server)
         self.servers.pop(server.id, None)
         events.log(events.Event.SERVER_GONE, server=server.id)
 
-    def _remember_leaving(self, server: Server) -> None:
-        """Keeps a leaving server's start, as its entry may come again."""
+    def _keep_leaving_start(self, server: Server) -> None:
+        """Keeps the start time of a leaving server.
+
+        If its entry reappears with the same start time, the server is still
+        leaving.
+        """
         self.leaving_starts[server.id] = server.entry.start_ms
-        while len(self.leaving_starts) > MAX_REMEMBERED_LEAVING:
+        while len(self.leaving_starts) > MAX_LEAVING_STARTS:
             del self.leaving_starts[next(iter(self.leaving_starts))]
 
     def list_servers(self, service: str) -> list[Server]:
-        """Returns the servers of a service, usable or not."""
+        """Returns all servers of a service, whether usable or not."""
         return [s for s in self.servers.values() if s.entry.service == service]
--- a/src/kingcupscale/fleet/serverclient.py
+++ b/src/kingcupscale/fleet/serverclient.py
@@ -1,4 +1,4 @@
-"""Calls to backend servers: what is sent, and what an answer says."""
+"""Interface of the client for backend servers, and its data types."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Callable
@@ -13,11 +13,11 @@
 
 
 class ServerError(Exception):
-    """A call that brought no whole, genuine answer.
+    """A call got no complete response that is known to be the server's own.
 
     Args:
         reason: What went wrong.
-        may_have_run: Whether the server may have worked on it.
+        may_have_run: Whether the server may have executed the call.
     """
 
     def __init__(self, reason: str, may_have_run: bool) -> None:
@@ -27,10 +27,10 @@
 
 
 class NotSentError(ServerError):
-    """A call that was kept from leaving; it has not run and never will.
+    """A call was blocked before it was sent, so it was never executed.
 
     Args:
-        reason: Why it must not leave any more.
+        reason: Why it must not be sent any more.
     """
 
     def __init__(self, reason: str) -> None:
@@ -39,24 +39,25 @@
 
 @attrs.frozen
 class Call:
-    """One request as a backend server gets it.
+    """One request to a backend server.
 
     Attributes:
-        request_id: Identity of the request.
-        method: Method.
-        path: Path.
-        query: Query without the question mark.
+        request_id: Id of the request.
+        method: HTTP method.
+        path: Path without the query.
+        query: Query string without the question mark.
         host: Host of the route.
-        headers: Headers to pass on, lower case; neither keys nor those of
-            one connection.
+        headers: Headers to forward, lower case. They contain no API keys and
+            no hop-by-hop headers.
         body: The whole body.
         timeout_s: Seconds after which the server stops.
         organisation: Label of the organisation; None where there is none.
-        expected_version: Weight version that it must run under.
-        resume_after: Number of the last event that is already there.
-        priority: Rank among a server's requests, 0 first; None for usual.
-        before_send: Called right before the first byte leaves; raises
-            ``NotSentError`` to keep the call from leaving. None to let it.
+        expected_version: Weight version that it must run under; None for any.
+        resume_after: Number of the last event that has been received.
+        priority: Priority among a server's requests, 0 is the most urgent;
+            None for the default.
+        before_send: Called right before the first byte is sent; raises
+            ``NotSentError`` to prevent that. None for no check.
     """
 
     request_id: str
@@ -79,9 +80,9 @@
     """One event of a stream.
 
     Attributes:
-        number: Its number, 1 or more.
-        data: Its text.
-        version: Weight version that made it.
+        number: Event number, starting at 1.
+        data: Text of the event.
+        version: Weight version that generated it.
     """
 
     number: int
@@ -91,17 +92,19 @@
 
 @attrs.define
 class ServerResponse:
-    """The head of an answer, and the way to its body.
+    """The status and headers of a response, and its body as a stream.
 
     Attributes:
         status: HTTP status.
-        headers: Headers to pass on, lower case.
-        not_executed: Whether the server says that it has not run the request.
-        wrong_server: Whether another server, or other weights, answered.
+        headers: Headers to forward, lower case.
+        not_executed: Whether the server says that it has not executed the
+            request.
+        wrong_server: Whether the response came from another server, or from
+            one with other weights, than expected.
         signature: The signature; empty if there is none.
-        version: Weight version; 0 if it names none.
-        load: Requests running and waiting there; None if it tells none.
-        body: Pieces of the body as they come.
+        version: Weight version; 0 if not given.
+        load: Requests running and queued on the server; None if not given.
+        body: Chunks of the body as they arrive.
     """
 
     status: int
@@ -115,12 +118,12 @@
 
     @property
     def is_success(self) -> bool:
-        """Whether it is a genuine success."""
+        """Whether it is a signed response with a 2xx status."""
         return 200 <= self.status < 300 and bool(self.signature)
 
 
 class OrderOutcome(enum.Enum):
-    """What became of an order."""
+    """The outcome of an order."""
 
     ACCEPTED = "accepted"
     ALREADY_LOADED = "holds already"
@@ -131,15 +134,16 @@
 
 @attrs.frozen
 class VersionOrder:
-    """Asks an engine to load a weight version.
+    """An order to an engine to load a weight version.
 
     Attributes:
         model: The model.
         version: The version.
         keeps_running_requests: Whether running requests continue under the
             new version; otherwise they end first.
-        holder: Who gives the order.
-        expected_sequence: Orders that the engine has accepted so far.
+        holder: The node that gives the order, with its fencing token.
+        expected_sequence: Number of orders that the engine is expected to have
+            accepted so far.
     """
 
     model: str
@@ -151,12 +155,12 @@
 
 @attrs.frozen
 class EngineStatus:
-    """How an engine stands.
+    """The status of an engine.
 
     Attributes:
         versions: Weight version by model.
-        is_loading: Whether an order is under way.
-        sequence: Orders accepted since its start.
+        is_loading: Whether it is loading weights.
+        sequence: Number of orders accepted since its start.
     """
 
     versions: dict[str, int]
@@ -165,42 +169,43 @@
 
 
 class ServerClient(Protocol):
-    """What the product asks of backend servers."""
+    """Client for backend servers."""
 
     def run(
         self, server: registry.Server, call: Call, connect_s: float
     ) -> contextlib.AbstractAsyncContextManager[ServerResponse]:
-        """Sends a request; leaving the context early abandons the answer.
+        """Sends a request; leaving the context early aborts the response.
 
         Raises:
-            ServerError: If no genuine answer comes.
+            ServerError: If no response arrives that is known to be the
+                server's own.
         """
         ...
 
     def events(self, answer: ServerResponse) -> AsyncIterator[StreamEvent]:
-        """Yields the whole events of a streamed answer.
+        """Yields the complete events of a streamed response.
 
         Raises:
-            ServerError: If the stream breaks off or makes no sense.
+            ServerError: If the stream is cut off or malformed.
         """
         ...
 
     async def order(
         self, server: registry.Server, order: VersionOrder
     ) -> OrderOutcome:
-        """Gives an order and returns its ``OrderOutcome``.
+        """Sends an order and returns its outcome.
 
         Raises:
-            ServerError: If its fate is unknown or the server is not there.
+            ServerError: If the outcome is unknown or the server is unreachable.
         """
         ...
 
     async def fetch_engine_status(
         self, server: registry.Server
     ) -> EngineStatus:
-        """Returns how an engine stands.
+        """Returns the status of an engine.
 
         Raises:
-            ServerError: If it does not tell.
+            ServerError: If the engine does not return a valid status.
         """
         ...
