--- a/src/kingcupscale/candidates.py
+++ b/src/kingcupscale/candidates.py
@@ -16,7 +16,7 @@
     Rankings are cached and recomputed when a node or a duty's holder changes.
 
     Args:
-        mirror: The local replica of the store, with the nodes' entries.
+        mirror: The local mirror of the store, with the nodes' entries.
         node: This node's name.
     """
 
--- a/src/kingcupscale/clusterstate.py
+++ b/src/kingcupscale/clusterstate.py
@@ -19,7 +19,7 @@
     than the present one is ignored too.
 
     Args:
-        mirror: The local replica of the store.
+        mirror: The local mirror of the store.
         servers: Receives the backend servers' entries.
         keys: Keys and key prefixes of the entries.
         decoders: Decode the entries' values.
--- a/src/kingcupscale/leadership.py
+++ b/src/kingcupscale/leadership.py
@@ -1,8 +1,8 @@
-"""Duties: roles that one node holds at a time, elected by leases in the store.
+"""Duties: roles that one node holds at a time, under a lease in the store.
 
-A ``ServiceDuty`` makes a node the leader of a service: it sends load orders to
-the service's engines and orders servers. A ``ModelDuty`` makes a node run the
-samples of one model on these engines.
+The holder of a ``ServiceDuty`` leads a service: it orders the service's engines
+to load weights, orders servers and deletes expired batches. The holder of a
+``ModelDuty`` runs the samples of one model on these engines.
 """
 
 from typing import TYPE_CHECKING
@@ -43,9 +43,11 @@
 
 
 class ServiceDuty:
-    """Leadership of one service: load orders to its engines, and scaling.
+    """A node's part in leading one service.
 
-    Every node has one of these per service, also while it is not the leader.
+    Every node has one per service and campaigns for the duty. It owns the
+    service's coordinator, which runs samples. Only the leader uses its loader,
+    which sends load orders to engines, and its sizer, which orders servers.
 
     Args:
         runtime: The node.
@@ -56,7 +58,7 @@
         deps = runtime.dependencies
         self.runtime = runtime
         self.service = service
-        self.tenure = locks.DutyLock(
+        self.lock = locks.DutyLock(
             service, runtime.session, runtime.mirror, deps.clock
         )
         self.coordinator = coordinators.Coordinator(
@@ -71,7 +73,7 @@
             runtime.view,
         )
         self.loader = loaders.Loader(
-            self.tenure,
+            self.lock,
             runtime.server_registry,
             deps.servers,
             runtime.cluster_state.target_versions,
@@ -80,7 +82,7 @@
             self._publish_load_state,
         )
         self.sizer = fleetsize.Sizer(
-            self.tenure,
+            self.lock,
             runtime.server_registry,
             deps.provider,
             deps.clock,
@@ -104,9 +106,9 @@
                 await self._delete_expired_batches()
 
             await locks.run_while_held(
-                self.tenure,
+                self.lock,
                 work,
-                lambda: rank(self.runtime, self.tenure.name),
+                lambda: rank(self.runtime, self.lock.name),
                 DUTY_INTERVAL_S,
             )
 
@@ -158,10 +160,10 @@
 
 
 class ModelDuty:
-    """Running the samples of one model on the engines of one service.
+    """A node's part in running one model's samples on a service's engines.
 
-    Every node has one of these per model. It campaigns for the duty, and also
-    runs the samples without holding it when their node fails or hands over.
+    Every node has one per model and campaigns for the duty. A node also runs
+    the samples without holding the duty if the holder fails or hands over.
 
     Args:
         runtime: The node.
@@ -183,7 +185,7 @@
         self.last_copy_from = ""
         self.last_copy_at = 0.0
         self.last_probe_at = 0.0
-        self.tenure = locks.DutyLock(
+        self.lock = locks.DutyLock(
             model_duty_name(leader.service, model),
             runtime.session,
             runtime.mirror,
@@ -202,11 +204,11 @@
     def needs_batches(self) -> bool:
         """Returns whether this node must keep the model's batches.
 
-        It does while it runs them, has unlisted samples of them, or is the
+        It must while it runs them, has results of them to save, or is the
         first candidate to run them next.
         """
         node = self.runtime.settings.node
-        holder = self.runtime.peers.holder(self.tenure.name)
+        holder = self.runtime.peers.holder(self.lock.name)
         others = [name for name in self._ranking() if name != holder]
         return (
             holder == node
@@ -238,7 +240,10 @@
         self.last_copy_at = self.runtime.clock.monotonic()
 
     def _is_overdue(self, holder: str) -> bool:
-        """Returns whether the holder missed copies and is due for a probe."""
+        """Returns whether to probe the holder, whose copies have stopped.
+
+        It sends copies only while batches of the model are open.
+        """
         now = self.runtime.clock.monotonic()
         if (
             holder != self.last_copy_from
@@ -256,9 +261,9 @@
         None if there is no other node.
         """
         peers = self.runtime.peers
-        holder = peers.holder(self.tenure.name)
+        holder = peers.holder(self.lock.name)
         ranking = self._ranking()
-        if holder and not self.tenure.is_held():
+        if holder and not self.lock.is_held():
             ranking = [holder, *ranking]
         return peers.first_reachable(ranking)
 
@@ -268,7 +273,7 @@
             nursery.start_soon(self._monitor_holder)
             nursery.start_soon(self.replicator.run)
             await locks.run_while_held(
-                self.tenure, self._do_nothing, self._rank, DUTY_INTERVAL_S
+                self.lock, self._do_nothing, self._rank, DUTY_INTERVAL_S
             )
 
     async def _do_nothing(self) -> None:
@@ -282,7 +287,7 @@
         """
         if self.coordinator.is_active(self.model):
             return 0
-        if is_small_fleet(self.runtime) and self.leader.tenure.is_held():
+        if is_small_fleet(self.runtime) and self.leader.lock.is_held():
             return 0
         return 1 + self.runtime.candidates.position(self._ranking())
 
@@ -290,7 +295,7 @@
         """Returns the candidates, the preferred one first."""
         if is_small_fleet(self.runtime):
             return self.runtime.candidates.ranking(self.service)
-        return self.runtime.candidates.idle_ranking(self.tenure.name)
+        return self.runtime.candidates.idle_ranking(self.lock.name)
 
     def _is_surplus(self) -> bool:
         """Returns whether this duty should move to a node without a duty.
@@ -307,7 +312,7 @@
             nodes.node,
             nodes.names(),
         )
-        return surplus == self.tenure.name
+        return surplus == self.lock.name
 
     async def _transfer(self) -> None:
         """Transfers the samples and the duty to a node without a duty."""
@@ -319,11 +324,11 @@
             return
         self.coordinator.set_active(self.model, False)
         try:
-            await self.tenure.release()
+            await self.lock.release()
         except stores.StoreError as e:
             events.log(
                 events.Event.STORE_FAILED,
-                duty=self.tenure.name,
+                duty=self.lock.name,
                 reason=e.reason,
             )
 
@@ -333,8 +338,8 @@
         A planned stop hands the samples over; this node then starts no others.
         """
         while not self.runtime.is_draining:
-            holder = self.runtime.peers.holder(self.tenure.name)
-            if self.tenure.is_held():
+            holder = self.runtime.peers.holder(self.lock.name)
+            if self.lock.is_held():
                 self.coordinator.set_active(self.model, True)
                 if self._is_surplus():
                     await self._transfer()
--- a/src/kingcupscale/platform/frontend.py
+++ b/src/kingcupscale/platform/frontend.py
@@ -77,7 +77,7 @@
         key = request.headers.get(names.KEY, "")
         record = await self.service.find_batch(batch_id, key)
         if request.method == "DELETE":
-            await self.service.end_batch(record, _patience_s(request))
+            await self.service.end_batch(record, _timeout_s(request))
             return message.json_response({})
         if request.method != "GET":
             raise errors.ServiceError(errors.ResultCode.METHOD_NOT_ALLOWED)
@@ -123,13 +123,13 @@
             },
             body=request.body,
             key=request.headers.get(names.KEY, ""),
-            timeout_s=_patience_s(request),
+            timeout_s=_timeout_s(request),
             received_at=self.clock.monotonic(),
             resume_after=int(resume_after) if resume_after.isdigit() else None,
         )
 
 
-def _patience_s(request: message.Request) -> float:
+def _timeout_s(request: message.Request) -> float:
     return _milliseconds(request, names.DEADLINE_MS, DEFAULT_DEADLINE_S)
 
 
--- a/src/kingcupscale/readiness.py
+++ b/src/kingcupscale/readiness.py
@@ -21,7 +21,7 @@
     """Checks whether a node accepts requests and may refuse any.
 
     Args:
-        mirror: The local replica of the store.
+        mirror: The local mirror of the store.
         others: The other nodes.
         clock: Source of time.
         bounds: Time limits, such as for applying a configuration.
--- a/src/kingcupscale/retirements.py
+++ b/src/kingcupscale/retirements.py
@@ -15,7 +15,7 @@
     confirmed at once.
 
     Args:
-        mirror: The local replica of the store, with requests and responses.
+        mirror: The local mirror of the store, with requests and responses.
         keys: Key prefixes of requests and responses.
         encode: Encodes the state of a retirement.
     """
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -40,10 +40,10 @@
 from kingcupscale.web import limits
 from kingcupscale.web import message
 
-# Between two polls of the store by a node that leads a service.
+# Pause between two long polls of the store by a node that leads a service.
 LEADER_POLL_INTERVAL_S = 0.1
-# Reading changes from another node is cheap, so a node with waiting readers or
-# running samples polls again almost at once.
+# Long-polling another node is cheap, so a node with waiting readers or running
+# samples pauses only this long.
 ACTIVE_POLL_INTERVAL_S = 0.02
 ELECTION_INTERVAL_S = 0.2
 # Lease length as a share of ``lease_s``, the time within which a duty must not
@@ -51,7 +51,7 @@
 LEASE_SHARE = 0.7
 # The entry of a node without duties may outlive the node by this many leases,
 # because other nodes notice sooner that it no longer answers.
-PRESENCE_LEASES = 4
+REGISTRATION_LEASES = 4
 SWEEP_INTERVAL_S = 0.25
 INTEREST_INTERVAL_S = 0.1
 USAGE_INTERVAL_S = 0.5
@@ -132,7 +132,7 @@
             fallback.FallbackStore(deps.store, self.peers.commit),
             self.clock,
             settings.value_bytes,
-            self._fetch_copy,
+            self._fetch_snapshot,
         )
         self.batch_cache.on_change = self._wake_coordinators
         self.relay = relay.RelayHandler(self.mirror, self.batch_cache)
@@ -146,7 +146,7 @@
             deps.store,
             self.clock,
             settings.node,
-            PRESENCE_LEASES * ttl_s,
+            REGISTRATION_LEASES * ttl_s,
             orjson.dumps({"peers": settings.peers}),
         )
         self.candidates = candidates.Candidates(self.mirror, settings.node)
@@ -224,13 +224,13 @@
     ) -> message.Response:
         """Stores copied texts; the last copy also hands the samples over."""
         duty = self.services.get(copy.service)
-        fits = duty is None or duty.coordinator.apply_copy(copy)
+        is_in_sync = duty is None or duty.coordinator.apply_copy(copy)
         model = self.models.get(
             leadership.model_duty_name(copy.service, copy.model)
         )
         if model is not None:
             model.record_copy(copy.sender)
-        if not fits:
+        if not is_in_sync:
             return message.Response(handover.STATUS_OUT_OF_SYNC)
         if not copy.is_last:
             return message.Response(200)
@@ -285,11 +285,11 @@
     def count_held_duties(self) -> int:
         """Returns the number of duties that this node holds."""
         duties = [*self.services.values(), *self.models.values()]
-        return sum(duty.tenure.is_held() for duty in duties)
+        return sum(duty.lock.is_held() for duty in duties)
 
     def is_leader(self) -> bool:
         """Returns whether this node leads any service."""
-        return any(d.tenure.is_held() for d in self.services.values())
+        return any(d.lock.is_held() for d in self.services.values())
 
     async def _fetch_changes(
         self, position: changelog.Position
@@ -307,8 +307,10 @@
             any_node=self.mirror.is_unreachable,
         )
 
-    async def _fetch_copy(self, batch_id: str) -> records.RecordSnapshot | None:
-        """Returns a copy of a batch from a node that is likely to have it."""
+    async def _fetch_snapshot(
+        self, batch_id: str
+    ) -> records.RecordSnapshot | None:
+        """Returns a snapshot of a batch from a node that may hold it."""
         nodes = self.peers.leaders()
         model = self.batch_cache.model_of(batch_id)
         for service in self.services if model else []:
@@ -361,7 +363,7 @@
                 self._update_interest,
                 self.session.run,
                 self.registration.run,
-                self._sweep_forever,
+                self._remove_expired_servers,
                 self._start_duties,
                 self._share_usage,
                 self._report_usage,
@@ -387,7 +389,8 @@
         await self.clock.sleep(DRAIN_NOTICE_S)
         self.stopped.set()
 
-    async def _sweep_forever(self) -> None:
+    async def _remove_expired_servers(self) -> None:
+        """Removes servers that have not registered again in time."""
         while True:
             self.server_registry.remove_expired()
             await self.clock.rest(SWEEP_INTERVAL_S)
@@ -419,6 +422,7 @@
                 nursery.start_soon(self.models[duty].run)
 
     async def _share_usage(self) -> None:
+        """Sends this node's usage counts to the node that reports them."""
         while True:
             await self.clock.rest(USAGE_INTERVAL_S)
             try:
@@ -431,6 +435,7 @@
                 )
 
     async def _report_usage(self) -> None:
+        """Campaigns for the usage duty, and reports while holding it."""
         if not self.settings.reports_usage:
             return
         await locks.run_while_held(
