--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -43,8 +43,8 @@
     Break(
         "no result is missed by a node that takes a copy",
         "batches/fetching.py",
-        "if copy is None or copy.revision < revision:",
-        "if copy is None:",
+        "if snapshot is None or snapshot.revision < revision:",
+        "if snapshot is None:",
         CACHE,
     ),
     Break(
@@ -119,7 +119,7 @@
         "batches/coordinator.py",
         "sample.events = self.partial_texts.pop(item.id, [])",
         "sample.events = []",
-        SITE + "test_batches.BatchTest.test_texts_go_on_after_a_takeover",
+        SITE + "test_batches.BatchTest.test_texts_are_resumed_after_a_takeover",
     ),
     Break(
         "a draining server gets nothing new",
@@ -134,7 +134,7 @@
         "    if may_have_run:\n        raise",
         "    if False:\n        raise",
         SITE + "test_submissions.SubmissionTest"
-        ".test_batch_that_may_be_kept_is_not_said_to_be_refused",
+        ".test_batch_that_may_be_stored_is_not_reported_refused",
     ),
     Break(
         "an open batch is kept",
@@ -157,7 +157,7 @@
         "key = next((k for k in self.copied_results if k[1] == sample.id), "
         "None)",
         SITE + "test_versions.VersionTest"
-        ".test_result_of_an_ended_batch_is_not_listed_in_another",
+        ".test_result_of_an_ended_batch_is_not_used_for_another",
     ),
     Break(
         "a mirror that missed a change is read anew",
