--- a/src/kingcupscale/dependencies.py
+++ b/src/kingcupscale/dependencies.py
@@ -24,8 +24,8 @@
     """Keys and key prefixes of the platform's entries in the store.
 
     Attributes:
-        configuration: Key of the configuration.
-        servers: Prefix of the backend servers' entries.
+        configuration: The configuration's key.
+        servers: Prefix of the servers' entries.
         versions: Prefix of the target weight versions that trainers set.
         retirements: Prefix of requests to retire a VM.
         retirement_states: Prefix of the responses to these requests.
@@ -62,8 +62,8 @@
     """The clients and utilities that a node uses, replaceable in tests.
 
     Attributes:
-        store: Client of the shared store.
-        servers: Client of the backend servers.
+        store: The shared store.
+        servers: Calls backend servers.
         intake: Receives usage reports.
         provider: Receives orders for servers.
         clock: Source of time.
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -10,7 +10,7 @@
 from kingcupscale import dependencies
 from kingcupscale import deployment
 from kingcupscale import events
-from kingcupscale import leadership
+from kingcupscale import leading
 from kingcupscale import metrics
 from kingcupscale import readiness
 from kingcupscale import retirements
@@ -92,8 +92,8 @@
         self.is_draining = False
         self.drain_requested = trio.Event()
         self.stopped = trio.Event()
-        self.services: dict[str, leadership.ServiceDuty] = {}
-        self.models: dict[str, leadership.ModelDuty] = {}
+        self.services: dict[str, leading.ServiceDuty] = {}
+        self.models: dict[str, leading.ModelDuty] = {}
         self._make_storage()
         self._make_serving()
 
@@ -226,7 +226,7 @@
         duty = self.services.get(copy.service)
         is_in_sync = duty is None or duty.coordinator.apply_copy(copy)
         model = self.models.get(
-            leadership.model_duty_name(copy.service, copy.model)
+            leading.model_duty_name(copy.service, copy.model)
         )
         if model is not None:
             model.record_copy(copy.sender)
@@ -314,7 +314,7 @@
         nodes = self.peers.leaders()
         model = self.batch_cache.model_of(batch_id)
         for service in self.services if model else []:
-            duty = leadership.model_duty_name(service, model or "")
+            duty = leading.model_duty_name(service, model or "")
             nodes.append(self.peers.holder(duty))
         others = [n for n in dict.fromkeys(nodes) if n != self.settings.node]
         return await self.peers.fetch_copy(batch_id, others)
@@ -322,7 +322,7 @@
     async def _update_interest(self) -> None:
         """Keeps the set of batches up to date that this node's duties need."""
         while True:
-            everything = self.is_leader() or leadership.is_small_fleet(self)
+            everything = self.is_leader() or leading.is_small_fleet(self)
             models = {
                 duty.model
                 for duty in self.models.values()
@@ -411,12 +411,12 @@
         self, service: str, models: Iterable[str], nursery: trio.Nursery
     ) -> None:
         if service not in self.services:
-            self.services[service] = leadership.ServiceDuty(self, service)
+            self.services[service] = leading.ServiceDuty(self, service)
             nursery.start_soon(self.services[service].run)
         for model in models:
-            duty = leadership.model_duty_name(service, model)
+            duty = leading.model_duty_name(service, model)
             if duty not in self.models:
-                self.models[duty] = leadership.ModelDuty(
+                self.models[duty] = leading.ModelDuty(
                     self, self.services[service], model
                 )
                 nursery.start_soon(self.models[duty].run)
@@ -441,7 +441,7 @@
         await locks.run_while_held(
             self.reporter.tenure,
             self._run_usage_duty,
-            lambda: leadership.rank(self, windows.DUTY),
+            lambda: leading.rank(self, windows.DUTY),
             USAGE_INTERVAL_S,
         )
 
--- a/tests/platform/test_distribution.py
+++ b/tests/platform/test_distribution.py
@@ -5,7 +5,7 @@
 import parameterized
 import trio
 
-from kingcupscale import leadership
+from kingcupscale import leading
 from kingcupscale.storage import locks
 from tests import virtual
 from tests.platform import fakeservers
@@ -13,8 +13,8 @@
 
 MODELS = (harness.MODEL, "beta")
 DUTIES = ("engines", *(f"engines/{model}" for model in MODELS))
-FEW = leadership.MIN_NODES_TO_DISTRIBUTE - 1
-MANY = leadership.MIN_NODES_TO_DISTRIBUTE + 1
+FEW = leading.MIN_NODES_TO_DISTRIBUTE - 1
+MANY = leading.MIN_NODES_TO_DISTRIBUTE + 1
 # Time after the last node's start within which the duties are distributed.
 DISTRIBUTION_S = 4.0
 
