--- a/tests/batches/fleets.py
+++ b/tests/batches/fleets.py
@@ -94,7 +94,7 @@
         return revision
 
 
-class SlowHandlerClient(test_relay.HandlerExchanger):
+class SlowHandlerClient(test_relay.HandlerHttpClient):
     """Calls a handler with random latency."""
 
     def __init__(self, handler, rng):
