--- a/src/kingcupscale/batches/cache.py
+++ b/src/kingcupscale/batches/cache.py
@@ -34,7 +34,7 @@
 
 @attrs.frozen
 class BatchSummary:
-    """Data kept of each batch whose specification has been received."""
+    """Summary of a batch whose specification has been received."""
 
     submitted_ms: int
     model: str
@@ -343,9 +343,9 @@
         # Without a record, these may be the first that announce the batch.
         for entry in pending.entries:
             self._apply_entry(entry)
-        held = record or self.records.get(batch_id)
-        if held is not None and self.reload_count != pending.reload_count:
-            held.mark_incomplete()
+        cached = record or self.records.get(batch_id)
+        if cached is not None and self.reload_count != pending.reload_count:
+            cached.mark_incomplete()
 
     def _add_loaded(self, record: records.Record, is_read: bool) -> None:
         batch_id, model = record.batch.id, record.batch.model
--- a/src/kingcupscale/batches/record.py
+++ b/src/kingcupscale/batches/record.py
@@ -206,11 +206,11 @@
     return attrs.evolve(whole, items=items)
 
 
-def from_snapshot(copy: RecordSnapshot) -> Record:
+def from_snapshot(snapshot: RecordSnapshot) -> Record:
     """Returns a record made from another node's snapshot."""
-    record = Record(copy.batch, copy.submitted_ms)
-    record.add_chunk(0, copy.results)
-    record.is_ended = copy.is_ended
+    record = Record(snapshot.batch, snapshot.submitted_ms)
+    record.add_chunk(0, snapshot.results)
+    record.is_ended = snapshot.is_ended
     return record
 
 
@@ -229,14 +229,14 @@
     """
     if "0" not in parts:
         return None
-    head = decode(Specification, parts["0"])
-    if len(parts) < head.parts:
+    specification = decode(Specification, parts["0"])
+    if len(parts) < specification.parts:
         return None
-    items = list(head.batch.items)
-    for part in range(1, head.parts):
+    items = list(specification.batch.items)
+    for part in range(1, specification.parts):
         items += decode(Items, parts[str(part)]).items
-    whole = attrs.evolve(head.batch, items=items)
-    return Record(whole, head.submitted_ms)
+    whole = attrs.evolve(specification.batch, items=items)
+    return Record(whole, specification.submitted_ms)
 
 
 def batch_key(batch_id: str, *parts: str) -> str:
--- a/tests/platform/test_batches.py
+++ b/tests/platform/test_batches.py
@@ -77,8 +77,8 @@
             results = await site.read_all(reader)
             self.assertEqual(len({r["id"] for r in results}), 16)
             self.assertEqual(len(results), 16)
-            listed = before["results"]
-            self.assertEqual(results[: len(listed)], listed)
+            earlier = before["results"]
+            self.assertEqual(results[: len(earlier)], earlier)
 
     @parameterized.parameterized.expand([("killed",), ("stopped",), ("cut",)])
     @virtual.on_virtual_time
