--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -110,7 +110,7 @@
     Break(
         "no batch is hidden by an old configuration",
         "gateway/callerservice.py",
-        "if doubt and is_there and e.code is errors.ResultCode.BATCH_UNKNOWN:",
+        "if stale and is_known and e.code is errors.ResultCode.BATCH_UNKNOWN:",
         "if False:",
         SITE + "test_configurations.StaleConfigurationTest",
     ),
@@ -356,7 +356,7 @@
     ),
     Break(
         "a planned stop hands over the last of all texts",
-        "leadership.py",
+        "leading.py",
         "            await self.replicator.hand_over()\n"
         "        self.coordinator.set_active(self.model, False)\n",
         "            self.coordinator.set_active(self.model, False)\n"
@@ -365,7 +365,7 @@
     ),
     Break(
         "samples go on at once when their node is stopped",
-        "leadership.py",
+        "leading.py",
         "if holder == self.takeover_source and now < self.takeover_until:",
         "if False:",
         SITE + "test_lifecycle.RollingStopTest",
@@ -456,7 +456,7 @@
     ),
     Break(
         "a lost node's samples go on soon",
-        "leadership.py",
+        "leading.py",
         "if self._is_overdue(holder):",
         "if False:",
         SITE + "test_lifecycle.LostHolderTest",
@@ -549,7 +549,7 @@
     Break(
         "calls that are given up teach how long answers take",
         "gateway/forwarder.py",
-        "self._learn_latency(state.service, limit_s)",
+        "self._update_latency(state.service, timeout_s)",
         "pass",
         SITE + "test_overload",
     ),
--- a/src/kingcupscale/gateway/inboundrequest.py
+++ b/src/kingcupscale/gateway/inboundrequest.py
@@ -1,4 +1,4 @@
-"""A single call as a caller sent it."""
+"""A caller's request after decoding."""
 
 from collections.abc import Callable
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class InboundRequest:
-    """A caller's request, decoded.
+    """A caller's request after decoding.
 
     Attributes:
         request_id: Identity that the caller gave it.
@@ -17,13 +17,14 @@
         query: Query.
         headers: Headers that may be passed on.
         body: The whole body.
-        key: The caller's key; empty if it sent none.
-        timeout_s: Seconds that the caller will wait, from ``received_at``.
+        key: API key; empty if the caller sent none.
+        timeout_s: Seconds, from ``received_at``, that the caller waits.
         received_at: Monotonic time of arrival.
-        resume_after: Number of the last event that the caller has.
-        is_background: Whether nobody waits for it directly.
-        before_send: Called right before it leaves for a server; raises
-            ``serverclient.NotSentError`` to keep it here.
+        resume_after: Number of the last stream event that the caller has.
+        is_background: Whether it is low-priority work, such as scoring, that
+            no caller waits for directly.
+        before_send: Called right before it is sent to a server; raises
+            ``serverclient.NotSentError`` to prevent that.
     """
 
     request_id: str
--- a/tests/storage/test_relay.py
+++ b/tests/storage/test_relay.py
@@ -25,7 +25,7 @@
     return None
 
 
-class HandlerExchanger:
+class HandlerHttpClient:
     """Passes requests to one handler."""
 
     def __init__(self, handler):
@@ -61,7 +61,7 @@
         )
         mirror.current_at = 0.0
         client = relay.HttpRelayClient(
-            HandlerExchanger(relay.RelayHandler(mirror, NoBatches()))
+            HandlerHttpClient(relay.RelayHandler(mirror, NoBatches()))
         )
 
         async def change():
@@ -93,7 +93,7 @@
         mirror.current_at = 0.0
         mirror.revision = 9
         client = relay.HttpRelayClient(
-            HandlerExchanger(relay.RelayHandler(mirror, NoBatches()))
+            HandlerHttpClient(relay.RelayHandler(mirror, NoBatches()))
         )
 
         async def change():
