--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -513,7 +513,7 @@
     ),
     Break(
         "texts of two runs are not joined",
-        "peering/handover.py",
+        "peering/replication.py",
         "return is_next and self.before == digest(known)",
         "return is_next",
         SITE + "test_replication",
--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -27,7 +27,7 @@
 from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
 from kingcupscale.gateway import forwarder
-from kingcupscale.peering import handover
+from kingcupscale.peering import replication
 from kingcupscale.storage import view as views
 
 # Longest pause of the run loop while samples are open, and otherwise. New
@@ -155,7 +155,7 @@
         ]
         return [*self.open_samples(), *self.released_samples]
 
-    def apply_copy(self, copy: handover.ReplicationRequest) -> bool:
+    def apply_copy(self, copy: replication.ReplicationRequest) -> bool:
         """Applies a copy of another node's texts and results.
 
         Returns:
--- a/src/kingcupscale/batches/samplereplication.py
+++ b/src/kingcupscale/batches/samplereplication.py
@@ -10,7 +10,7 @@
 from kingcupscale import events
 from kingcupscale.batches import coordinator as coordinators
 from kingcupscale.peering import calls
-from kingcupscale.peering import handover
+from kingcupscale.peering import replication
 
 # A takeover loses at most the text that was generated within this time.
 REPLICATION_INTERVAL_S = 0.3
@@ -43,7 +43,7 @@
         self,
         coordinator: coordinators.Coordinator,
         model: str,
-        client: handover.CopyClient,
+        client: replication.ReplicationClient,
         clock: clocks.Clock,
         node: str,
         find_target: Callable[[], tuple[str, str] | None],
@@ -99,7 +99,7 @@
             self.target = name
             self._reset_sent()
         texts = self._collect_updates()
-        request = handover.ReplicationRequest(
+        request = replication.ReplicationRequest(
             self.coordinator.service,
             texts,
             self.model,
@@ -110,7 +110,7 @@
             await self.client.send(address, request)
         except calls.PeerError as e:
             self._reset_sent()
-            if e.status != handover.STATUS_OUT_OF_SYNC:
+            if e.status != replication.STATUS_OUT_OF_SYNC:
                 self.note_failure(name)
             events.log(
                 events.Event.COPY_FAILED,
@@ -131,7 +131,7 @@
         self.sent = {}
         self.sent_results = set()
 
-    def _collect_updates(self) -> list[handover.TextUpdate]:
+    def _collect_updates(self) -> list[replication.TextUpdate]:
         texts = []
         open_item_ids = set()
         for sample in self.coordinator.unsaved_samples(self.model):
@@ -143,12 +143,12 @@
             is_new = sample.result and sample.id not in self.sent_results
             if added or is_new:
                 texts.append(
-                    handover.TextUpdate(
+                    replication.TextUpdate(
                         sample.id,
                         added,
                         sample.result,
                         sample.record.batch.id,
-                        handover.digest(sample.events[:sent]),
+                        replication.digest(sample.events[:sent]),
                     )
                 )
                 self.sent[sample.id] = sent
--- a/src/kingcupscale/dependencies.py
+++ b/src/kingcupscale/dependencies.py
@@ -12,9 +12,9 @@
 from kingcupscale.fleet import serverclient
 from kingcupscale.peering import commits
 from kingcupscale.peering import counts
-from kingcupscale.peering import handover
 from kingcupscale.peering import loads
 from kingcupscale.peering import relay
+from kingcupscale.peering import replication
 from kingcupscale.storage import store as stores
 from kingcupscale.usage import windows
 
@@ -85,7 +85,7 @@
     rng: random.Random
     relay: relay.RelayClient
     commits: commits.CommitClient
-    copies: handover.CopyClient
+    copies: replication.ReplicationClient
     loads: loads.LoadClient
     counts: counts.CountsClient
     keys: Keys
--- a/src/kingcupscale/peering/handover.py
+++ b/src/kingcupscale/peering/replication.py
@@ -80,7 +80,7 @@
     is_last: bool = False
 
 
-class CopyClient(Protocol):
+class ReplicationClient(Protocol):
     """Sends replicas of texts to other nodes."""
 
     async def send(self, address: str, request: ReplicationRequest) -> None:
@@ -92,8 +92,8 @@
         ...
 
 
-class HttpCopyClient:
-    """A ``CopyClient`` over HTTP.
+class HttpReplicationClient:
+    """A ``ReplicationClient`` over HTTP.
 
     Args:
         http_client: Sends the requests.
--- a/src/kingcupscale/platform/process.py
+++ b/src/kingcupscale/platform/process.py
@@ -18,9 +18,9 @@
 from kingcupscale.operating import exposition
 from kingcupscale.peering import commits
 from kingcupscale.peering import counts
-from kingcupscale.peering import handover
 from kingcupscale.peering import loads
 from kingcupscale.peering import relay
+from kingcupscale.peering import replication
 from kingcupscale.platform import cloud
 from kingcupscale.platform import documents
 from kingcupscale.platform import frontend
@@ -92,7 +92,7 @@
             rng,
             relay.HttpRelayClient(clients.peers),
             commits.HttpCommitClient(clients.peers),
-            handover.HttpCopyClient(clients.peers),
+            replication.HttpReplicationClient(clients.peers),
             loads.HttpLoadClient(clients.peers),
             counts.HttpCountsClient(clients.peers),
             KEYS,
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -25,10 +25,10 @@
 from kingcupscale.gateway import forwarder
 from kingcupscale.peering import commits
 from kingcupscale.peering import counts
-from kingcupscale.peering import handover
 from kingcupscale.peering import loads
 from kingcupscale.peering import pace
 from kingcupscale.peering import relay
+from kingcupscale.peering import replication
 from kingcupscale.storage import changelog
 from kingcupscale.storage import fallback
 from kingcupscale.storage import locks
@@ -210,8 +210,8 @@
         """Returns the response to a request of another node."""
         if request.path == commits.PATH:
             return await commits.handle(self.dependencies.store, request)
-        if request.path == handover.PATH:
-            return self._apply_copy(handover.decode(request.body))
+        if request.path == replication.PATH:
+            return self._apply_copy(replication.decode(request.body))
         if request.path == counts.PATH:
             return self.telling.answer(request)
         if request.path == loads.PATH:
@@ -220,7 +220,7 @@
         return await self.relay(request)
 
     def _apply_copy(
-        self, copy: handover.ReplicationRequest
+        self, copy: replication.ReplicationRequest
     ) -> message.Response:
         """Stores copied texts; the last copy also hands the samples over."""
         duty = self.services.get(copy.service)
@@ -231,7 +231,7 @@
         if model is not None:
             model.record_copy(copy.sender)
         if not is_in_sync:
-            return message.Response(handover.STATUS_OUT_OF_SYNC)
+            return message.Response(replication.STATUS_OUT_OF_SYNC)
         if not copy.is_last:
             return message.Response(200)
         if model is None or self.is_draining:
--- a/tests/platform/test_replication.py
+++ b/tests/platform/test_replication.py
@@ -10,7 +10,7 @@
 import trio
 
 from kingcupscale.fleet import serverclient
-from kingcupscale.peering import handover
+from kingcupscale.peering import replication
 from tests import virtual
 from tests.platform import harness
 
@@ -41,11 +41,11 @@
             coordinator = runtime.services["engines"].coordinator
             coordinator.partial_texts["i1"] = list(known)
             events = _events(6, 8, run)
-            before = handover.digest(_events(1, 5, run))
+            before = replication.digest(_events(1, 5, run))
             if not run:
                 events, before = _events(1, 8, "c"), ""
-            text = handover.TextUpdate("i1", events, before=before)
-            copy = handover.ReplicationRequest("engines", [text])
+            text = replication.TextUpdate("i1", events, before=before)
+            copy = replication.ReplicationRequest("engines", [text])
             self.assertEqual(coordinator.apply_copy(copy), is_applied)
             expected = known
             if is_applied:
--- a/tests/platform/test_versions.py
+++ b/tests/platform/test_versions.py
@@ -5,7 +5,7 @@
 import trio
 
 from kingcupscale.batches import batch
-from kingcupscale.peering import handover
+from kingcupscale.peering import replication
 from tests import virtual
 from tests.platform import harness
 
@@ -19,11 +19,11 @@
             old = batch.Result(
                 "b1-i0", batch.ResultState.DONE, "old", [1], "old score"
             )
-            text = handover.TextUpdate("b1-i0", [], old, "b0")
+            text = replication.TextUpdate("b1-i0", [], old, "b0")
             for node in site.nodes:
                 duty = node.runtime.services["engines"]
                 duty.coordinator.apply_copy(
-                    handover.ReplicationRequest("engines", [text])
+                    replication.ReplicationRequest("engines", [text])
                 )
             await site.submit(site.nodes[0], "b1", minimum=2)
             for result in await site.read_all(site.nodes[0], "b1"):
