--- a/src/kingcupscale/batches/loader.py
+++ b/src/kingcupscale/batches/loader.py
@@ -14,7 +14,7 @@
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
-from kingcupscale.peering import loads
+from kingcupscale.peering import weightloads
 from kingcupscale.storage import locks
 
 # How many versions behind the newest the weights of a step may be.
@@ -71,7 +71,7 @@
         target_versions: dict[str, int],
         clock: clocks.Clock,
         current_catalogue: Callable[[], catalogue.Catalogue | None],
-        on_load_state: Callable[[loads.WeightLoadState], None],
+        on_load_state: Callable[[weightloads.WeightLoadState], None],
     ) -> None:
         self.on_load_state = on_load_state
         self.duty_lock = duty_lock
@@ -215,7 +215,7 @@
         loading_s: float = 0.0,
     ) -> None:
         self.on_load_state(
-            loads.WeightLoadState(
+            weightloads.WeightLoadState(
                 load.server.id, load.model, version, no_samples_s, loading_s
             )
         )
--- a/src/kingcupscale/dependencies.py
+++ b/src/kingcupscale/dependencies.py
@@ -12,9 +12,9 @@
 from kingcupscale.fleet import serverclient
 from kingcupscale.peering import commits
 from kingcupscale.peering import counts
-from kingcupscale.peering import loads
 from kingcupscale.peering import relay
 from kingcupscale.peering import replication
+from kingcupscale.peering import weightloads
 from kingcupscale.storage import store as stores
 from kingcupscale.usage import windows
 
@@ -86,7 +86,7 @@
     relay: relay.RelayClient
     commits: commits.CommitClient
     copies: replication.ReplicationClient
-    loads: loads.LoadClient
+    loads: weightloads.WeightLoadClient
     counts: counts.CountsClient
     keys: Keys
     decoders: Decoders
--- a/src/kingcupscale/leading.py
+++ b/src/kingcupscale/leading.py
@@ -17,7 +17,7 @@
 from kingcupscale.batches import samplereplication
 from kingcupscale.capacity import fleetsize
 from kingcupscale.peering import calls
-from kingcupscale.peering import loads
+from kingcupscale.peering import weightloads
 from kingcupscale.storage import locks
 from kingcupscale.storage import store as stores
 
@@ -120,7 +120,7 @@
         retention_s = self.runtime.settings.bounds.retention_s
         await self.retention.remove_older_than(retention_s + RETENTION_MARGIN_S)
 
-    def _publish_load_state(self, state: loads.WeightLoadState) -> None:
+    def _publish_load_state(self, state: weightloads.WeightLoadState) -> None:
         """Applies a load's state here and sends it to the model's node."""
         self.runtime.apply_load_state(state)
         peers = self.runtime.peers
@@ -130,7 +130,7 @@
             self.nursery.start_soon(self._send_load_state, address, state)
 
     async def _send_load_state(
-        self, address: str, state: loads.WeightLoadState
+        self, address: str, state: weightloads.WeightLoadState
     ) -> None:
         try:
             await self.runtime.dependencies.loads.send(address, state)
--- a/src/kingcupscale/peering/loads.py
+++ b/src/kingcupscale/peering/weightloads.py
@@ -35,7 +35,7 @@
     loading_s: float = 0.0
 
 
-class LoadClient(Protocol):
+class WeightLoadClient(Protocol):
     """Sends the state of weight loads to other nodes."""
 
     async def send(self, address: str, state: WeightLoadState) -> None:
@@ -47,8 +47,8 @@
         ...
 
 
-class HttpLoadClient:
-    """A ``LoadClient`` over HTTP.
+class HttpWeightLoadClient:
+    """A ``WeightLoadClient`` over HTTP.
 
     Args:
         http_client: Sends the requests.
--- a/src/kingcupscale/platform/process.py
+++ b/src/kingcupscale/platform/process.py
@@ -18,9 +18,9 @@
 from kingcupscale.operating import exposition
 from kingcupscale.peering import commits
 from kingcupscale.peering import counts
-from kingcupscale.peering import loads
 from kingcupscale.peering import relay
 from kingcupscale.peering import replication
+from kingcupscale.peering import weightloads
 from kingcupscale.platform import cloud
 from kingcupscale.platform import documents
 from kingcupscale.platform import frontend
@@ -93,7 +93,7 @@
             relay.HttpRelayClient(clients.peers),
             commits.HttpCommitClient(clients.peers),
             replication.HttpReplicationClient(clients.peers),
-            loads.HttpLoadClient(clients.peers),
+            weightloads.HttpWeightLoadClient(clients.peers),
             counts.HttpCountsClient(clients.peers),
             KEYS,
             DECODERS,
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -25,10 +25,10 @@
 from kingcupscale.gateway import forwarder
 from kingcupscale.peering import commits
 from kingcupscale.peering import counts
-from kingcupscale.peering import loads
 from kingcupscale.peering import pace
 from kingcupscale.peering import relay
 from kingcupscale.peering import replication
+from kingcupscale.peering import weightloads
 from kingcupscale.storage import changelog
 from kingcupscale.storage import fallback
 from kingcupscale.storage import locks
@@ -214,8 +214,8 @@
             return self._apply_copy(replication.decode(request.body))
         if request.path == counts.PATH:
             return self.telling.answer(request)
-        if request.path == loads.PATH:
-            self.apply_load_state(loads.decode(request.body))
+        if request.path == weightloads.PATH:
+            self.apply_load_state(weightloads.decode(request.body))
             return message.Response(200)
         return await self.relay(request)
 
@@ -239,7 +239,7 @@
         model.take_over(copy.sender)
         return message.Response(200)
 
-    def apply_load_state(self, state: loads.WeightLoadState) -> None:
+    def apply_load_state(self, state: weightloads.WeightLoadState) -> None:
         """Applies the state of an engine's weight load."""
         server = self.server_registry.servers.get(state.server)
         if server is None:
