--- a/src/kingcupscale/capacity/fleetsize.py
+++ b/src/kingcupscale/capacity/fleetsize.py
@@ -119,7 +119,7 @@
     """Keeps a service at the size that its peaks need, while it is ours.
 
     Args:
-        tenure: The duty of ordering for the service.
+        duty_lock: The duty of ordering for the service.
         servers: The backend servers.
         provider: Takes the orders.
         clock: Tells the time.
@@ -129,7 +129,7 @@
 
     def __init__(
         self,
-        tenure: locks.DutyLock,
+        duty_lock: locks.DutyLock,
         servers: registry.ServerRegistry,
         provider: Provider,
         clock: clocks.Clock,
@@ -138,7 +138,7 @@
     ) -> None:
         self.demand_now = demand_now
         self.demand = Demand()
-        self.tenure = tenure
+        self.duty_lock = duty_lock
         self.servers = servers
         self.provider = provider
         self.clock = clock
@@ -150,7 +150,7 @@
     async def step(self) -> None:
         """Orders what is missing."""
         configured = self.catalogue_now()
-        service = configured and configured.services.get(self.tenure.name)
+        service = configured and configured.services.get(self.duty_lock.name)
         if not service or service.scaling is None:
             return
         now = self.clock.monotonic()
@@ -174,17 +174,17 @@
     async def _order(self, order: Order) -> None:
         if self.ordered.get(order.zone) == order.number:
             return
-        if not self.tenure.is_held():
+        if not self.duty_lock.is_held():
             return
         now = self.clock.monotonic()
         try:
-            state = await self.provider.order(order, self.tenure.holder())
+            state = await self.provider.order(order, self.duty_lock.holder())
         except OrderError as e:
             self.not_before[order.zone] = now + FAILED_PAUSE_S
             events.log(
                 events.Event.SERVERS_ORDERED,
                 order=attrs.asdict(order),
-                fence=self.tenure.fencing_token,
+                fence=self.duty_lock.fencing_token,
                 outcome=str(e),
             )
             return
@@ -196,6 +196,6 @@
         events.log(
             events.Event.SERVERS_ORDERED,
             order=attrs.asdict(order),
-            fence=self.tenure.fencing_token,
+            fence=self.duty_lock.fencing_token,
             outcome=state.value,
         )
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -439,7 +439,7 @@
         if not self.settings.reports_usage:
             return
         await locks.run_while_held(
-            self.reporter.tenure,
+            self.reporter.duty_lock,
             self._run_usage_duty,
             lambda: leading.rank(self, windows.DUTY),
             USAGE_INTERVAL_S,
--- a/src/kingcupscale/usage/telling.py
+++ b/src/kingcupscale/usage/telling.py
@@ -56,7 +56,7 @@
         return message.Response(200 if is_taken else 503)
 
     def _take(self, node: str, counted: dict[int, dict[str, int]]) -> bool:
-        if not self.reporter.tenure.is_held():
+        if not self.reporter.duty_lock.is_held():
             return False
         self.reporter.take(node, counted)
         return True
--- a/src/kingcupscale/usage/windows.py
+++ b/src/kingcupscale/usage/windows.py
@@ -170,7 +170,7 @@
     before they are sent; whoever sends it later sends the same.
 
     Args:
-        tenure: The duty.
+        duty_lock: The duty.
         mirror: Where counts and figures are shared.
         intake: Takes the reports.
         clock: Tells the time.
@@ -180,14 +180,14 @@
 
     def __init__(
         self,
-        tenure: locks.DutyLock,
+        duty_lock: locks.DutyLock,
         mirror: mirrors.StoreMirror,
         intake: Intake,
         clock: clocks.Clock,
         window_s: float,
         late_s: float,
     ) -> None:
-        self.tenure = tenure
+        self.duty_lock = duty_lock
         self.mirror = mirror
         self.intake = intake
         self.clock = clock
@@ -207,8 +207,8 @@
     def _has_heard_all(self) -> bool:
         """Tells whether the others had the time to tell this node."""
         now = self.clock.monotonic()
-        if self.fence != self.tenure.fencing_token:
-            self.fence = self.tenure.fencing_token
+        if self.fence != self.duty_lock.fencing_token:
+            self.fence = self.duty_lock.fencing_token
             self.gained_at = now
         return now - self.gained_at >= RESEND_S
 
@@ -243,15 +243,15 @@
 
     async def _report(self, window: int) -> None:
         figures = await self._settle_figures(window)
-        if figures is None or not self.tenure.is_held():
+        if figures is None or not self.duty_lock.is_held():
             return
         try:
-            await self.intake.report(window, figures, self.tenure.holder())
+            await self.intake.report(window, figures, self.duty_lock.holder())
         except ReportError as e:
             events.log(
                 events.Event.USAGE_FAILED,
                 window=window,
-                fence=self.tenure.fencing_token,
+                fence=self.duty_lock.fencing_token,
                 reason=e.reason,
             )
             if e.is_fenced:
@@ -261,7 +261,7 @@
         events.log(
             events.Event.USAGE_REPORTED,
             window=window,
-            fence=self.tenure.fencing_token,
+            fence=self.duty_lock.fencing_token,
             organisations=len(figures),
             requests=sum(figures.values()),
         )
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -185,7 +185,7 @@
 
     def _make(self, mirror, intake, node):
         session = types.SimpleNamespace(node=node)
-        tenure = types.SimpleNamespace(
+        duty_lock = types.SimpleNamespace(
             session=session,
             fencing_token=1,
             is_held=lambda: True,
@@ -193,7 +193,7 @@
         )
         clock = virtualtime.VirtualClock()
         return windows.WindowReporter(
-            tenure, mirror, intake, clock, WINDOW_S, 4.0
+            duty_lock, mirror, intake, clock, WINDOW_S, 4.0
         )
 
     @virtual.on_virtual_time
