--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -110,7 +110,7 @@
     Break(
         "no batch is hidden by an old configuration",
         "gateway/callerservice.py",
-        "if doubt and is_there and e.code is errors.ResultCode.BATCH_UNKNOWN:",
+        "if stale and is_known and e.code is errors.ResultCode.BATCH_UNKNOWN:",
         "if False:",
         SITE + "test_configurations.StaleConfigurationTest",
     ),
@@ -119,7 +119,7 @@
         "batches/coordinator.py",
         "sample.events = self.partial_texts.pop(item.id, [])",
         "sample.events = []",
-        SITE + "test_batches.BatchTest.test_texts_go_on_after_a_takeover",
+        SITE + "test_batches.BatchTest.test_texts_are_resumed_after_a_takeover",
     ),
     Break(
         "a draining server gets nothing new",
@@ -134,7 +134,7 @@
         "    if may_have_run:\n        raise",
         "    if False:\n        raise",
         SITE + "test_submissions.SubmissionTest"
-        ".test_batch_that_may_be_kept_is_not_said_to_be_refused",
+        ".test_batch_that_may_be_stored_is_not_reported_refused",
     ),
     Break(
         "an open batch is kept",
@@ -356,7 +356,7 @@
     ),
     Break(
         "a planned stop hands over the last of all texts",
-        "leadership.py",
+        "leading.py",
         "            await self.replicator.hand_over()\n"
         "        self.coordinator.set_active(self.model, False)\n",
         "            self.coordinator.set_active(self.model, False)\n"
@@ -365,7 +365,7 @@
     ),
     Break(
         "samples go on at once when their node is stopped",
-        "leadership.py",
+        "leading.py",
         "if holder == self.takeover_source and now < self.takeover_until:",
         "if False:",
         SITE + "test_lifecycle.RollingStopTest",
@@ -456,7 +456,7 @@
     ),
     Break(
         "a lost node's samples go on soon",
-        "leadership.py",
+        "leading.py",
         "if self._is_overdue(holder):",
         "if False:",
         SITE + "test_lifecycle.LostHolderTest",
@@ -513,7 +513,7 @@
     ),
     Break(
         "texts of two runs are not joined",
-        "peering/handover.py",
+        "peering/replication.py",
         "return is_next and self.before == digest(known)",
         "return is_next",
         SITE + "test_replication",
@@ -549,7 +549,7 @@
     Break(
         "calls that are given up teach how long answers take",
         "gateway/forwarder.py",
-        "self._learn_latency(state.service, limit_s)",
+        "self._update_latency(state.service, timeout_s)",
         "pass",
         SITE + "test_overload",
     ),
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -10,7 +10,7 @@
 from kingcupscale import dependencies
 from kingcupscale import deployment
 from kingcupscale import events
-from kingcupscale import leadership
+from kingcupscale import leading
 from kingcupscale import metrics
 from kingcupscale import readiness
 from kingcupscale import retirements
@@ -25,10 +25,10 @@
 from kingcupscale.gateway import forwarder
 from kingcupscale.peering import commits
 from kingcupscale.peering import counts
-from kingcupscale.peering import handover
-from kingcupscale.peering import loads
 from kingcupscale.peering import pace
 from kingcupscale.peering import relay
+from kingcupscale.peering import replication
+from kingcupscale.peering import weightloads
 from kingcupscale.storage import changelog
 from kingcupscale.storage import fallback
 from kingcupscale.storage import locks
@@ -40,10 +40,10 @@
 from kingcupscale.web import limits
 from kingcupscale.web import message
 
-# Between two polls of the store by a node that leads a service.
+# Pause between two long polls of the store by a node that leads a service.
 LEADER_POLL_INTERVAL_S = 0.1
-# Reading changes from another node is cheap, so a node with waiting readers or
-# running samples polls again almost at once.
+# Long-polling another node is cheap, so a node with waiting readers or running
+# samples pauses only this long.
 ACTIVE_POLL_INTERVAL_S = 0.02
 ELECTION_INTERVAL_S = 0.2
 # Lease length as a share of ``lease_s``, the time within which a duty must not
@@ -51,7 +51,7 @@
 LEASE_SHARE = 0.7
 # The entry of a node without duties may outlive the node by this many leases,
 # because other nodes notice sooner that it no longer answers.
-PRESENCE_LEASES = 4
+REGISTRATION_LEASES = 4
 SWEEP_INTERVAL_S = 0.25
 INTEREST_INTERVAL_S = 0.1
 USAGE_INTERVAL_S = 0.5
@@ -92,8 +92,8 @@
         self.is_draining = False
         self.drain_requested = trio.Event()
         self.stopped = trio.Event()
-        self.services: dict[str, leadership.ServiceDuty] = {}
-        self.models: dict[str, leadership.ModelDuty] = {}
+        self.services: dict[str, leading.ServiceDuty] = {}
+        self.models: dict[str, leading.ModelDuty] = {}
         self._make_storage()
         self._make_serving()
 
@@ -132,7 +132,7 @@
             fallback.FallbackStore(deps.store, self.peers.commit),
             self.clock,
             settings.value_bytes,
-            self._fetch_copy,
+            self._fetch_snapshot,
         )
         self.batch_cache.on_change = self._wake_coordinators
         self.relay = relay.RelayHandler(self.mirror, self.batch_cache)
@@ -146,7 +146,7 @@
             deps.store,
             self.clock,
             settings.node,
-            PRESENCE_LEASES * ttl_s,
+            REGISTRATION_LEASES * ttl_s,
             orjson.dumps({"peers": settings.peers}),
         )
         self.candidates = candidates.Candidates(self.mirror, settings.node)
@@ -210,28 +210,28 @@
         """Returns the response to a request of another node."""
         if request.path == commits.PATH:
             return await commits.handle(self.dependencies.store, request)
-        if request.path == handover.PATH:
-            return self._apply_copy(handover.decode(request.body))
+        if request.path == replication.PATH:
+            return self._apply_copy(replication.decode(request.body))
         if request.path == counts.PATH:
             return self.telling.answer(request)
-        if request.path == loads.PATH:
-            self.apply_load_state(loads.decode(request.body))
+        if request.path == weightloads.PATH:
+            self.apply_load_state(weightloads.decode(request.body))
             return message.Response(200)
         return await self.relay(request)
 
     def _apply_copy(
-        self, copy: handover.ReplicationRequest
+        self, copy: replication.ReplicationRequest
     ) -> message.Response:
         """Stores copied texts; the last copy also hands the samples over."""
         duty = self.services.get(copy.service)
-        fits = duty is None or duty.coordinator.apply_copy(copy)
+        is_in_sync = duty is None or duty.coordinator.apply_copy(copy)
         model = self.models.get(
-            leadership.model_duty_name(copy.service, copy.model)
+            leading.model_duty_name(copy.service, copy.model)
         )
         if model is not None:
             model.record_copy(copy.sender)
-        if not fits:
-            return message.Response(handover.STATUS_OUT_OF_SYNC)
+        if not is_in_sync:
+            return message.Response(replication.STATUS_OUT_OF_SYNC)
         if not copy.is_last:
             return message.Response(200)
         if model is None or self.is_draining:
@@ -239,7 +239,7 @@
         model.take_over(copy.sender)
         return message.Response(200)
 
-    def apply_load_state(self, state: loads.WeightLoadState) -> None:
+    def apply_load_state(self, state: weightloads.WeightLoadState) -> None:
         """Applies the state of an engine's weight load."""
         server = self.server_registry.servers.get(state.server)
         if server is None:
@@ -285,11 +285,11 @@
     def count_held_duties(self) -> int:
         """Returns the number of duties that this node holds."""
         duties = [*self.services.values(), *self.models.values()]
-        return sum(duty.tenure.is_held() for duty in duties)
+        return sum(duty.lock.is_held() for duty in duties)
 
     def is_leader(self) -> bool:
         """Returns whether this node leads any service."""
-        return any(d.tenure.is_held() for d in self.services.values())
+        return any(d.lock.is_held() for d in self.services.values())
 
     async def _fetch_changes(
         self, position: changelog.Position
@@ -307,12 +307,14 @@
             any_node=self.mirror.is_unreachable,
         )
 
-    async def _fetch_copy(self, batch_id: str) -> records.RecordSnapshot | None:
-        """Returns a copy of a batch from a node that is likely to have it."""
+    async def _fetch_snapshot(
+        self, batch_id: str
+    ) -> records.RecordSnapshot | None:
+        """Returns a snapshot of a batch from a node that may hold it."""
         nodes = self.peers.leaders()
         model = self.batch_cache.model_of(batch_id)
         for service in self.services if model else []:
-            duty = leadership.model_duty_name(service, model or "")
+            duty = leading.model_duty_name(service, model or "")
             nodes.append(self.peers.holder(duty))
         others = [n for n in dict.fromkeys(nodes) if n != self.settings.node]
         return await self.peers.fetch_copy(batch_id, others)
@@ -320,7 +322,7 @@
     async def _update_interest(self) -> None:
         """Keeps the set of batches up to date that this node's duties need."""
         while True:
-            everything = self.is_leader() or leadership.is_small_fleet(self)
+            everything = self.is_leader() or leading.is_small_fleet(self)
             models = {
                 duty.model
                 for duty in self.models.values()
@@ -361,7 +363,7 @@
                 self._update_interest,
                 self.session.run,
                 self.registration.run,
-                self._sweep_forever,
+                self._remove_expired_servers,
                 self._start_duties,
                 self._share_usage,
                 self._report_usage,
@@ -387,7 +389,8 @@
         await self.clock.sleep(DRAIN_NOTICE_S)
         self.stopped.set()
 
-    async def _sweep_forever(self) -> None:
+    async def _remove_expired_servers(self) -> None:
+        """Removes servers that have not registered again in time."""
         while True:
             self.server_registry.remove_expired()
             await self.clock.rest(SWEEP_INTERVAL_S)
@@ -408,17 +411,18 @@
         self, service: str, models: Iterable[str], nursery: trio.Nursery
     ) -> None:
         if service not in self.services:
-            self.services[service] = leadership.ServiceDuty(self, service)
+            self.services[service] = leading.ServiceDuty(self, service)
             nursery.start_soon(self.services[service].run)
         for model in models:
-            duty = leadership.model_duty_name(service, model)
+            duty = leading.model_duty_name(service, model)
             if duty not in self.models:
-                self.models[duty] = leadership.ModelDuty(
+                self.models[duty] = leading.ModelDuty(
                     self, self.services[service], model
                 )
                 nursery.start_soon(self.models[duty].run)
 
     async def _share_usage(self) -> None:
+        """Sends this node's usage counts to the node that reports them."""
         while True:
             await self.clock.rest(USAGE_INTERVAL_S)
             try:
@@ -431,12 +435,13 @@
                 )
 
     async def _report_usage(self) -> None:
+        """Campaigns for the usage duty, and reports while holding it."""
         if not self.settings.reports_usage:
             return
         await locks.run_while_held(
-            self.reporter.tenure,
+            self.reporter.duty_lock,
             self._run_usage_duty,
-            lambda: leadership.rank(self, windows.DUTY),
+            lambda: leading.rank(self, windows.DUTY),
             USAGE_INTERVAL_S,
         )
 
