--- a/src/kingcupscale/batches/batch.py
+++ b/src/kingcupscale/batches/batch.py
@@ -59,14 +59,14 @@
 
 @attrs.frozen
 class Batch:
-    """Items that are submitted together for one training step.
+    """Items that are submitted together.
 
     Attributes:
         id: Id of the batch.
         organisation: Organisation that owns the batch.
         route: Name of the route that received the batch.
         host: Host of that route.
-        step: Training step.
+        step: Training step of the batch; 0 if the client sent none.
         model: The model that is trained.
         minimum_version: Oldest weight version that may generate tokens.
         wanted_groups: Number of complete groups that the trainer waits for.
--- a/src/kingcupscale/batches/cache.py
+++ b/src/kingcupscale/batches/cache.py
@@ -27,9 +27,9 @@
 VALUE_SHARE = 0.7
 # Age from which the mirror may lack results that other nodes already return.
 MIRROR_STALE_S = 0.7
-# Minimum time between two restarts of the long poll for a wider interest. It is
-# longer than a long poll takes that finds no change.
-MIN_RESTART_S = 1.0
+# Minimum time between two restarts of the long poll for a wider interest. A
+# long poll that finds no change takes less than this.
+MIN_RESTART_INTERVAL_S = 1.0
 
 
 @attrs.frozen
@@ -64,10 +64,10 @@
 
     Args:
         mirror: The mirror of the store.
-        store: Where batches are written.
-        clock: Tells the time.
-        value_bytes: Largest value that the store holds.
-        fetch_snapshot: Fetches a batch from another node.
+        store: The store.
+        clock: Clock for submission and read times.
+        value_bytes: Maximum size of a stored value in bytes.
+        fetch_snapshot: Fetches a snapshot of a batch from another node.
 
     Attributes:
         records: Cached records by batch id.
@@ -108,7 +108,7 @@
         self.reload_count = 0
         self.waiting_readers = 0
         self.waiting_parts: dict[str, dict[str, bytes]] = {}
-        self.restarted_at = -MIN_RESTART_S
+        self.follow_restarted_at = -MIN_RESTART_INTERVAL_S
         self.on_change: Callable[[], None] = _ignore
         mirror.exclude_prefix(records.RESULTS_PREFIX)
         mirror.defer_prefix(records.PREFIX)
@@ -117,9 +117,14 @@
         mirror.on_reloaded = self._mark_all_incomplete
 
     def set_interest(self, everything: bool, models: frozenset[str]) -> None:
-        """Sets what to cache besides the batches that clients read here."""
+        """Sets what to cache besides the batches that clients read here.
+
+        Args:
+            everything: Whether to cache all batches.
+            models: Models whose batches to cache.
+        """
         before = self.interest
-        self._set_interest(everything, models)
+        self._replace_interest(everything, models)
         if (everything and not before.everything) or models - before.models:
             self.load_candidates |= {
                 batch_id
@@ -129,29 +134,38 @@
 
     def model_of(self, batch_id: str) -> str | None:
         """Returns the model that a batch trains, or None if it is not known."""
-        known = self.summaries.get(batch_id)
-        return known.model if known else None
+        summary = self.summaries.get(batch_id)
+        return summary.model if summary else None
+
+    def _replace_interest(
+        self, everything: bool, models: frozenset[str]
+    ) -> None:
+        """Sets the interest, with the batches that are read or loaded now.
 
-    def _set_interest(self, everything: bool, models: frozenset[str]) -> None:
-        single = frozenset()
+        A wider interest restarts the long poll of the followed node.
+        """
+        further_batches = frozenset()
         if not everything:
-            single = frozenset(self.last_read_at) | frozenset(
+            further_batches = frozenset(self.last_read_at) | frozenset(
                 self.pending_loads
             )
-        new = interests.Interest(everything, models, single)
+        new = interests.Interest(everything, models, further_batches)
         is_wider = new.is_wider_than(self.interest)
         self.interest = new
         now = self.clock.monotonic()
-        if is_wider and now - self.restarted_at >= MIN_RESTART_S:
-            # The running long poll may omit values that are needed now, and
-            # which then have to be read from the store. But a long poll that
-            # is restarted again and again would never be answered.
-            self.restarted_at = now
+        if (
+            is_wider
+            and now - self.follow_restarted_at >= MIN_RESTART_INTERVAL_S
+        ):
+            # The running long poll may omit values that are needed now, which
+            # would then have to be read from the store. Restarts are limited
+            # because a long poll that is restarted too often never returns.
+            self.follow_restarted_at = now
             self.mirror.restart_follow()
 
     def update_interest(self) -> None:
         """Updates the interest with the batches that are read or loaded now."""
-        self._set_interest(self.interest.everything, self.interest.models)
+        self._replace_interest(self.interest.everything, self.interest.models)
 
     def batch_ids(self) -> list[str]:
         """Returns all batches that the store is known to hold."""
@@ -185,6 +199,7 @@
             self.on_change()
 
     def _remove(self, batch_id: str) -> None:
+        """Forgets a batch that has been removed from the store."""
         self.summaries.pop(batch_id, None)
         self.last_read_at.pop(batch_id, None)
         self.load_candidates.discard(batch_id)
@@ -195,6 +210,11 @@
     def _apply_specification(
         self, batch_id: str, number: str, entry: stores.Entry
     ) -> None:
+        """Applies a part of a specification; the last one completes the batch.
+
+        A new batch of interest is cached. A batch that is not new or may have
+        results becomes a load candidate.
+        """
         self.mirror.discard_value(entry.key)
         if not entry.value or batch_id in self.records:
             return
@@ -230,7 +250,7 @@
     def _apply_results(self, entry: stores.Entry) -> None:
         """Applies a changed chunk of results."""
         rest = entry.key.removeprefix(records.RESULTS_PREFIX)
-        batch_id, _, number = rest.partition("/")
+        batch_id, _, position = rest.partition("/")
         if entry.value is None:
             return
         self.mirror.discard_value(entry.key)
@@ -241,7 +261,7 @@
         if record is None:
             return
         decoding.decode_entry(
-            entry, lambda v: record.add_encoded_chunk(int(number), v)
+            entry, lambda v: record.add_encoded_chunk(int(position), v)
         )
 
     def _mark_all_incomplete(self) -> None:
@@ -261,7 +281,8 @@
             timeout_s: Seconds after which no failed write is retried.
 
         Returns:
-            Whether the batch is new; False if it was already in the store.
+            Whether the batch is new; False if it was already in the store,
+            maybe from an earlier attempt whose response was lost.
 
         Raises:
             ServiceError: ``STORE_UNAVAILABLE`` if the batch was certainly not
@@ -269,7 +290,7 @@
         """
         if new.id in self.records:
             return False
-        self._note_read(new.id)
+        self._mark_read(new.id)
         now_ms = int(self.clock.now().timestamp() * 1000)
         transaction = transactions.make_acceptance(new, now_ms, self.part_bytes)
         reload_count = self.reload_count
@@ -285,7 +306,7 @@
                 self._apply_batch_entry(stores.Entry(put.key, put.value, 0))
         return is_new
 
-    def _note_read(self, batch_id: str) -> None:
+    def _mark_read(self, batch_id: str) -> None:
         self.last_read_at[batch_id] = self.clock.monotonic()
         self.update_interest()
 
@@ -301,7 +322,7 @@
             record = await self.load(batch_id, is_read=True)
         if record is None or record.batch.organisation != organisation:
             raise errors.ServiceError(errors.ResultCode.BATCH_UNKNOWN)
-        self._note_read(batch_id)
+        self._mark_read(batch_id)
         return record
 
     async def load(
@@ -340,7 +361,7 @@
         pending.done.set()
         if record is not None:
             self._add_loaded(record, is_read)
-        # Without a record, these may be the first that announce the batch.
+        # If no record was found, these may be the first notice of the batch.
         for entry in pending.entries:
             self._apply_entry(entry)
         cached = record or self.records.get(batch_id)
@@ -348,6 +369,7 @@
             cached.mark_incomplete()
 
     def _add_loaded(self, record: records.Record, is_read: bool) -> None:
+        """Caches a loaded record if it was read or is of interest."""
         batch_id, model = record.batch.id, record.batch.model
         self.summaries[batch_id] = BatchSummary(record.submitted_ms, model)
         if is_read:
@@ -391,16 +413,17 @@
     def _may_lack_results(self, record: records.Record) -> bool:
         """Returns whether other nodes may have results that this one lacks.
 
-        That holds for an ended batch, too: this node may have ended it before
-        the mirror delivered the results.
+        This includes ended batches: this node may have ended one before the
+        mirror delivered its results.
         """
-        is_whole = len(record.results) >= len(record.batch.items)
+        is_complete = len(record.results) >= len(record.batch.items)
         is_stale = self.mirror.age_s() > MIRROR_STALE_S or not record.is_current
-        return is_stale and not is_whole
+        return is_stale and not is_complete
 
     async def _wait_for_result(
         self, record: records.Record, after: int, wait_s: float
     ) -> None:
+        """Waits up to ``wait_s`` for a result at a position, or for the end."""
         with trio.move_on_after(wait_s):
             while after >= len(record.results) and record.is_open():
                 await self.mirror.changed.wait()
@@ -434,8 +457,8 @@
 
         Returns:
             Whether the results were written. If not, another node had written
-            at one of the positions; the records have been refreshed, and the
-            caller decides again which results are missing.
+            at one of the positions. The records have then been refreshed, so
+            the caller can determine which results are still missing.
 
         Raises:
             StoreError: If the write failed or got no answer. If it was executed
--- a/src/kingcupscale/batches/fetching.py
+++ b/src/kingcupscale/batches/fetching.py
@@ -56,8 +56,8 @@
             asks_nodes: Whether a snapshot from another node may be used.
 
         Raises:
-            ServiceError: ``STORE_UNAVAILABLE`` if neither the store nor another
-                node has answered.
+            ServiceError: ``STORE_UNAVAILABLE`` if the store cannot be reached
+                and no other node has provided a current snapshot.
         """
         if asks_nodes:
             record = await self._fetch_current(batch_id)
@@ -116,9 +116,9 @@
         has_end = any(e.key == prefix + records.END for e in found)
         if has_end or all(e.created == e.revision for e in found):
             return found
-        # The batch was ended after its first page was read, which would hold
-        # the end. Nothing is written after the end, so that a second scan is
-        # consistent.
+        # The batch was ended between two pages: its end belongs on the first
+        # page, which was read before. Nothing is written after the end, so a
+        # second scan is consistent.
         return await self.entries(prefix)
 
     async def entries(self, prefix: str, after: str = "") -> list[stores.Entry]:
@@ -139,11 +139,12 @@
     async def refresh(self, record: records.Record) -> None:
         """Reads the results that a record lacks.
 
-        They are read from the store, or from another node if the store cannot
-        be reached.
+        They are read from the store. If it cannot be reached, a current mirror
+        is enough for a record that has missed no change; other records need a
+        current snapshot from another node.
 
         Raises:
-            ServiceError: ``STORE_UNAVAILABLE`` if neither has answered.
+            ServiceError: ``STORE_UNAVAILABLE`` if none of these is available.
         """
         # Later changes are received, unless missed_updates is incremented.
         missed_updates = record.missed_updates
--- a/src/kingcupscale/batches/maintenance.py
+++ b/src/kingcupscale/batches/maintenance.py
@@ -1,66 +1,76 @@
-"""Maintenance of the batch cache: loading, refreshing and evicting batches."""
+"""Maintenance of the batch cache: loading, refreshing and evicting batches.
+
+``BatchCache`` holds the records; this module decides at regular intervals which
+of them are loaded, refreshed and evicted.
+"""
 
 from kingcupscale import clock as clocks
 from kingcupscale import errors
 from kingcupscale.batches import cache as caches
 from kingcupscale.batches import record as records
 
-# A batch stays cached for this long after a client read it. A client reads
+# A batch is kept up to date for this long after a client read it. Clients read
 # about twice a second.
 READ_TTL_S = 10.0
 # Maximum estimated size of the cached batches that get no more results.
-CLOSED_BYTES = 8_000_000
-PAUSE_S = 0.1
-SWEEP_S = 1.0
+MAX_CLOSED_BYTES = 8_000_000
+MAINTENANCE_INTERVAL_S = 0.1
+EVICTION_INTERVAL_S = 1.0
 
 
 class CacheMaintainer:
     """Loads the batches that the node is interested in and evicts the rest.
 
     Args:
-        cache: The cache.
-        clock: Tells the time.
+        batch_cache: The cache.
+        clock: Clock for the intervals.
     """
 
-    def __init__(self, cache: caches.BatchCache, clock: clocks.Clock) -> None:
-        self.cache = cache
+    def __init__(
+        self, batch_cache: caches.BatchCache, clock: clocks.Clock
+    ) -> None:
+        self.batch_cache = batch_cache
         self.clock = clock
-        self.swept_at = 0.0
+        self.evicted_at = 0.0
 
     async def run(self) -> None:
         """Maintains the cache until cancelled."""
         while True:
-            await self._load_wanted()
+            await self._load_and_refresh()
             now = self.clock.monotonic()
-            if now - self.swept_at >= SWEEP_S:
-                self.swept_at = now
+            if now - self.evicted_at >= EVICTION_INTERVAL_S:
+                self.evicted_at = now
                 self._evict()
-            await self.clock.rest(PAUSE_S)
+            await self.clock.rest(MAINTENANCE_INTERVAL_S)
+
+    async def _load_and_refresh(self) -> None:
+        """Loads the wanted candidates, then refreshes open batches.
 
-    async def _load_wanted(self) -> None:
-        for batch_id in sorted(self.cache.load_candidates):
-            known = self.cache.summaries.get(batch_id)
-            is_wanted = known is None or self.cache.interest.includes(
-                batch_id, known.model
+        After a failure, the rest is left to the next call.
+        """
+        for batch_id in sorted(self.batch_cache.load_candidates):
+            summary = self.batch_cache.summaries.get(batch_id)
+            is_wanted = summary is None or self.batch_cache.interest.includes(
+                batch_id, summary.model
             )
-            if not is_wanted or self.cache.has_end(batch_id):
-                self.cache.load_candidates.discard(batch_id)
+            if not is_wanted or self.batch_cache.has_end(batch_id):
+                self.batch_cache.load_candidates.discard(batch_id)
                 continue
             try:
-                await self.cache.load(batch_id, is_read=False)
+                await self.batch_cache.load(batch_id, is_read=False)
             except errors.ServiceError as e:
-                self.cache.load_candidates.add(batch_id)
+                self.batch_cache.load_candidates.add(batch_id)
                 caches.log_load_failure(batch_id, e)
                 return
         await self._refresh_open()
 
     async def _refresh_open(self) -> None:
-        """Refreshes open batches that may lack results."""
-        for record in list(self.cache.records.values()):
+        """Refreshes open batches that may lack results, until one fails."""
+        for record in list(self.batch_cache.records.values()):
             if record.is_current or not record.is_open():
                 continue
             try:
-                await self.cache.fetcher.refresh(record)
+                await self.batch_cache.fetcher.refresh(record)
             except errors.ServiceError as e:
                 caches.log_load_failure(record.batch.id, e)
                 return
@@ -72,27 +82,28 @@
         cached up to a total size.
         """
         now = self.clock.monotonic()
-        self.cache.last_read_at = {
+        self.batch_cache.last_read_at = {
             batch_id: at
-            for batch_id, at in self.cache.last_read_at.items()
+            for batch_id, at in self.batch_cache.last_read_at.items()
             if now - at < READ_TTL_S
         }
-        self.cache.update_interest()
+        self.batch_cache.update_interest()
         closed_bytes = 0
         newest_first = sorted(
-            self.cache.records.values(), key=self._last_wanted_at, reverse=True
+            self.batch_cache.records.values(), key=self._recency, reverse=True
         )
         for record in newest_first:
             batch_id = record.batch.id
-            is_wanted = self.cache.interest.includes(
+            is_wanted = self.batch_cache.interest.includes(
                 batch_id, record.batch.model
             )
             if is_wanted and record.is_open():
                 continue
             closed_bytes += record.estimated_bytes()
-            if not is_wanted or closed_bytes > CLOSED_BYTES:
-                del self.cache.records[batch_id]
+            if not is_wanted or closed_bytes > MAX_CLOSED_BYTES:
+                del self.batch_cache.records[batch_id]
 
-    def _last_wanted_at(self, record: records.Record) -> tuple[float, int]:
-        read_at = self.cache.last_read_at.get(record.batch.id, 0.0)
+    def _recency(self, record: records.Record) -> tuple[float, int]:
+        """Returns a sort key: time of the last read, then of submission."""
+        read_at = self.batch_cache.last_read_at.get(record.batch.id, 0.0)
         return read_at, record.submitted_ms
--- a/src/kingcupscale/batches/record.py
+++ b/src/kingcupscale/batches/record.py
@@ -17,6 +17,7 @@
 # Results have a prefix of their own, so that a scan of all batches does not
 # read their texts.
 RESULTS_PREFIX = "kingcupscale/results/"
+# Segments of store keys that follow the batch id.
 SPECIFICATION = "specification"
 END = "end"
 # Maximum estimated size of the results in one response.
@@ -169,7 +170,10 @@
         return sum(len(r.text) + RESULT_OVERHEAD_BYTES for r in self.results)
 
     def page(self, after: int) -> list[batch.Result]:
-        """Returns results from a position on, as many as fit in a response."""
+        """Returns results from a position on, as many as fit in a response.
+
+        At least one result is returned if there is one, whatever its size.
+        """
         page: list[batch.Result] = []
         estimated_bytes = 0
         for result in self.results[after:]:
@@ -240,7 +244,7 @@
 
 
 def batch_key(batch_id: str, *parts: str) -> str:
-    """Returns a store key of a batch that has the given path segments."""
+    """Returns the store key made of a batch's prefix and further segments."""
     return "/".join([PREFIX + batch_id, *parts])
 
 
--- a/src/kingcupscale/batches/resultwriter.py
+++ b/src/kingcupscale/batches/resultwriter.py
@@ -83,13 +83,15 @@
                 listed=is_written,
                 position=len(record.results),
             )
-        # Run again: some results may not have fitted, or another node may have
-        # written at the same position first.
+        # Run again: results may be left over because of the size limits or
+        # because another node wrote at the same position first.
         self.has_results.set()
 
     def _collect_unwritten(self) -> list[tuple[records.Record, records.Chunk]]:
         """Returns results that are not in the store, up to the size limits."""
-        found: dict[str, tuple[records.Record, dict[str, batches.Result]]] = {}
+        unwritten: dict[
+            str, tuple[records.Record, dict[str, batches.Result]]
+        ] = {}
         size = 0
         for sample in self.find_samples():
             record = sample.record
@@ -98,9 +100,9 @@
             if size > MAX_WRITE_BYTES:
                 break
             size += len(sample.result.text) + 200
-            _, results = found.setdefault(record.batch.id, (record, {}))
+            _, results = unwritten.setdefault(record.batch.id, (record, {}))
             results.setdefault(sample.id, sample.result)
         return [
             (record, records.Chunk(list(results.values())))
-            for record, results in list(found.values())[:MAX_WRITE_BATCHES]
+            for record, results in list(unwritten.values())[:MAX_WRITE_BATCHES]
         ]
--- a/src/kingcupscale/batches/samplereplication.py
+++ b/src/kingcupscale/batches/samplereplication.py
@@ -93,7 +93,10 @@
         return False
 
     async def _send_to(self, target: tuple[str, str], is_last: bool) -> bool:
-        """Sends new text and results to a node; returns False on failure."""
+        """Sends new text and results to a node; returns False on failure.
+
+        After a failure, all text and results are sent again.
+        """
         name, address = target
         if name != self.target:
             self.target = name
@@ -128,10 +131,12 @@
         return True
 
     def _reset_sent(self) -> None:
+        """Assumes that the target has nothing yet."""
         self.sent = {}
         self.sent_results = set()
 
     def _collect_updates(self) -> list[handover.TextUpdate]:
+        """Returns what the target lacks, at most ``MAX_TEXTS`` samples."""
         texts = []
         open_item_ids = set()
         for sample in self.coordinator.unsaved_samples(self.model):
@@ -139,13 +144,15 @@
             sent = self.sent.get(sample.id, 0)
             if sent > len(sample.events):
                 sent = 0
-            added = sample.events[sent:]
-            is_new = sample.result and sample.id not in self.sent_results
-            if added or is_new:
+            new_events = sample.events[sent:]
+            has_new_result = (
+                sample.result and sample.id not in self.sent_results
+            )
+            if new_events or has_new_result:
                 texts.append(
                     handover.TextUpdate(
                         sample.id,
-                        added,
+                        new_events,
                         sample.result,
                         sample.record.batch.id,
                         handover.digest(sample.events[:sent]),
--- a/src/kingcupscale/batches/transactions.py
+++ b/src/kingcupscale/batches/transactions.py
@@ -29,12 +29,12 @@
         submitted_ms: Submission time in milliseconds since the Unix epoch.
         part_bytes: Maximum size of the items in one stored value.
     """
-    groups = records.split(new.items, part_bytes)
-    head = records.Specification(
-        submitted_ms, len(groups), attrs.evolve(new, items=groups[0])
+    parts = records.split(new.items, part_bytes)
+    specification = records.Specification(
+        submitted_ms, len(parts), attrs.evolve(new, items=parts[0])
     )
-    values = [records.encode(head)]
-    values += [records.encode(records.Items(items)) for items in groups[1:]]
+    values = [records.encode(specification)]
+    values += [records.encode(records.Items(items)) for items in parts[1:]]
     keys = [
         records.batch_key(new.id, records.SPECIFICATION, str(number))
         for number in range(len(values))
--- a/tests/batches/fleets.py
+++ b/tests/batches/fleets.py
@@ -22,7 +22,12 @@
 
 
 class FakeStore:
-    """In-memory store whose responses have random latency."""
+    """In-memory store whose responses have random latency.
+
+    Attributes:
+        scans: Number of calls of ``scan``.
+        lost_at: Watches from before this revision fail for lost history.
+    """
 
     def __init__(self, rng):
         self.rng = rng
--- a/tests/batches/test_cache.py
+++ b/tests/batches/test_cache.py
@@ -1,7 +1,7 @@
 """Batch caches of several nodes that follow each other.
 
 A cache that misses a change returns too few results. That can happen after lost
-watch history, by a snapshot that is too old, or during a load.
+watch history, from a snapshot that is too old, or during a load.
 CacheScheduleTest searches for such cases with random schedules, BatchCacheTest
 covers the known ones.
 """
@@ -99,12 +99,12 @@
     @virtual.on_virtual_time
     async def test_result_written_during_a_load_is_returned(self):
         async with fleets.running_pair() as pair:
-            copy = pair.leader.batch_cache.records["b"].snapshot(10**6)
+            snapshot = pair.leader.batch_cache.records["b"].snapshot(10**6)
 
             async def fetch_slowly(batch_id):
                 await pair.append_result()
                 await trio.sleep(1)
-                return copy
+                return snapshot
 
             pair.follower.batch_cache.fetcher.fetch_snapshot = fetch_slowly
             self.assertEqual(await pair.read(), 1)
@@ -144,14 +144,14 @@
         async with fleets.running_pair() as pair:
             pair.follower.is_leader = True
             await trio.sleep(1)
-            copy = pair.leader.batch_cache.records["b"].snapshot(
+            snapshot = pair.leader.batch_cache.records["b"].snapshot(
                 pair.store.revision
             )
 
             async def fetch_slowly(batch_id):
                 pair.append_without_history()
                 await trio.sleep(2)
-                return copy
+                return snapshot
 
             pair.follower.batch_cache.fetcher.fetch_snapshot = fetch_slowly
             self.assertEqual(await pair.read(), 1)
@@ -232,10 +232,10 @@
     @virtual.on_virtual_time
     async def test_old_snapshot_does_not_reopen_an_ended_batch(self):
         async with fleets.running_pair() as pair:
-            open_copy = pair.leader.batch_cache.records["b"].snapshot(10**6)
+            open_snapshot = pair.leader.batch_cache.records["b"].snapshot(10**6)
 
             async def fetch_old_snapshot(batch_id):
-                return open_copy
+                return open_snapshot
 
             pair.follower.batch_cache.fetcher.fetch_snapshot = (
                 fetch_old_snapshot
--- a/tests/platform/test_batches.py
+++ b/tests/platform/test_batches.py
@@ -158,7 +158,7 @@
             results = await site.read_all(reader)
             self.assertEqual(len({r["id"] for r in results}), 16)
             self.assertEqual(len(results), 16)
-            # Other nodes may lag behind a position that was read by up to 1 s.
+            # Reads at other nodes may lag by up to 1 s.
             await trio.sleep(1)
             _, page = await site.read(leader)
             self.assertEqual(page["results"], results)
@@ -226,7 +226,7 @@
     )
     @virtual.on_virtual_time
     async def test_item_that_always_fails_is_errored(
-        self, _, status, most, least
+        self, _, status, max_runs, min_runs
     ):
         async with harness.launch() as site:
             for name in ("e1", "e2"):
@@ -235,8 +235,8 @@
             (result,) = await site.read_all(site.nodes[0])
             self.assertEqual(result["state"], "errored")
             runs = [r for r in site.runs if "-i" in r.request]
-            self.assertLessEqual(len(runs), most)
-            self.assertGreaterEqual(len(runs), least)
+            self.assertLessEqual(len(runs), max_runs)
+            self.assertGreaterEqual(len(runs), min_runs)
 
     @virtual.on_virtual_time
     async def test_batch_survives_the_loss_of_all_nodes(self):
