--- a/src/kingcupscale/peering/calls.py
+++ b/src/kingcupscale/peering/calls.py
@@ -13,7 +13,7 @@
 
 # Nodes are at most one region apart; if connecting takes longer than this, the
 # other node is down.
-CONNECT_S = 0.25
+CONNECT_TIMEOUT_S = 0.25
 
 _converter = codec.make_wire_converter()
 
@@ -56,7 +56,7 @@
     request = message.Request(
         "POST", path, "", {"host": address}, _converter.dumps(value)
     )
-    request.connect_timeout_s = CONNECT_S
+    request.connect_timeout_s = CONNECT_TIMEOUT_S
     try:
         response = await httpclient.fetch(
             http_client, address, request, timeout_s
--- a/src/kingcupscale/peering/pace.py
+++ b/src/kingcupscale/peering/polling.py
@@ -1,7 +1,7 @@
 """How often a node polls the node that it follows for changes.
 
 In a large fleet, polling loads the followed node: each response takes it some
-milliseconds, and it leads a service besides. Engines update their entries all
+milliseconds, and it also leads a service. Engines update their entries all
 the time, so that a poll never waits for a change. Idle nodes, on which no
 caller waits for a change, therefore poll less often the more nodes there are.
 """
--- a/src/kingcupscale/peering/relay.py
+++ b/src/kingcupscale/peering/relay.py
@@ -1,11 +1,11 @@
 """Relays changes of the store from one node's mirror to its followers.
 
-A node that holds a duty watches the store; the other nodes follow its mirror
-by long polls. The load on the store therefore does not grow with the number of
-nodes, results reach readers without a polling delay, and a node that cannot
-reach the store still receives changes. Most of the data are texts of batches,
-so a follower names the batches that it needs in full; for the others it
-receives keys without values.
+The nodes that lead a service watch the store; the other nodes follow one of
+their mirrors by long polls. The load on the store therefore does not grow with
+the number of nodes, results reach readers without a polling delay, and a node
+that cannot reach the store still receives changes. Most of the data are texts
+of batches, so a follower names the batches that it needs in full; for the
+others it receives keys without values.
 """
 
 import base64
@@ -84,7 +84,7 @@
 
 @attrs.frozen
 class CopyRequest:
-    """Requests all that a node knows of a batch."""
+    """Requests a node's state of a batch, in full."""
 
     batch: str
 
@@ -210,7 +210,7 @@
         """Returns a batch loaded in full, or None if it does not exist.
 
         Raises:
-            ServiceError: If neither can be determined.
+            ServiceError: If the store cannot be read.
         """
         ...
 
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -25,7 +25,7 @@
 from kingcupscale.gateway import forwarder
 from kingcupscale.peering import commits
 from kingcupscale.peering import counts
-from kingcupscale.peering import pace
+from kingcupscale.peering import polling
 from kingcupscale.peering import relay
 from kingcupscale.peering import replication
 from kingcupscale.peering import weightloads
@@ -339,7 +339,7 @@
         )
         if self.mirror.is_following and is_needed:
             return ACTIVE_POLL_INTERVAL_S
-        return pace.idle_poll_interval_s(
+        return polling.idle_poll_interval_s(
             len(self.candidates.names()), self.settings.bounds.apply_s
         )
 
--- a/src/kingcupscale/storage/locks.py
+++ b/src/kingcupscale/storage/locks.py
@@ -28,7 +28,7 @@
 SAFETY_SHARE = 0.25
 # A candidate waits this long per candidate ranked before it, before it acquires
 # a free duty.
-TURN_S = 0.3
+DELAY_PER_RANK_S = 0.3
 
 
 class DutyLostError(Exception):
@@ -55,8 +55,8 @@
 
     The expiry time is counted from before a renewal is sent, on a clock that
     keeps running while the VM is suspended, so the node always considers the
-    lease expired before the store does. A lease without users is neither
-    granted nor renewed.
+    lease expired before the store does. ``run`` neither grants nor renews a
+    lease without users.
 
     Args:
         store: The shared store.
@@ -69,6 +69,7 @@
         ends_at: Monotonic time at which the lease expires.
         is_closed: Whether no lease may be granted any more.
         users: Objects that need the lease.
+        renewal_lock: Held while the lease is granted or renewed.
     """
 
     def __init__(
@@ -219,10 +220,11 @@
         self.users.add(self)
 
     def note_removed(self) -> None:
-        """Has the node's entry written again, since it was removed.
+        """Records that the node's entry was removed.
 
-        A delayed write of an earlier entry may replace the present one and be
-        removed with its own, expired lease.
+        The next renewal writes it again. The entry disappears if a delayed
+        write replaces it by one that is bound to an earlier lease, and that
+        lease then expires.
         """
         self.is_registered = False
 
@@ -259,7 +261,8 @@
 
     Attributes:
         fencing_token: Fencing token of the duty; 0 if it was not acquired.
-        released_token: Fencing token under which the duty was last released.
+        released_token: Fencing token under which the duty was last released; 0
+            if it was not released.
         lease: The lease under which the duty was acquired.
     """
 
@@ -445,12 +448,14 @@
 async def _wait_for_turn(duty_lock: DutyLock, rank: Callable[[], int]) -> None:
     """Waits so that preferred candidates can acquire a free duty first.
 
-    The rank is read again at each change, as a candidate that acquires another
-    duty meanwhile gets a lower one.
+    The rank is read again at each change: a candidate that acquires another
+    duty meanwhile moves behind those without one.
     """
     began_at = duty_lock.clock.monotonic()
     while duty_lock.key not in duty_lock.mirror.entries:
-        left_s = began_at + TURN_S * rank() - duty_lock.clock.monotonic()
+        left_s = (
+            began_at + DELAY_PER_RANK_S * rank() - duty_lock.clock.monotonic()
+        )
         if left_s <= 0:
             return
         with trio.move_on_after(left_s):
--- a/src/kingcupscale/storage/mirror.py
+++ b/src/kingcupscale/storage/mirror.py
@@ -1,4 +1,4 @@
-"""A local mirror of the shared store, kept current by one watch per node.
+"""A local mirror of the shared store.
 
 ``StoreMirror`` holds all keys in memory, notifies listeners of changes and
 knows how old its state is. It watches the store or, on most nodes, follows the
@@ -46,7 +46,7 @@
         store: The shared store.
         clock: Source of time.
         node: The node's name, for the log.
-        pause_s: Returns the shortest time between two watches, in seconds.
+        pause_s: Returns the pause between two reads of changes, in seconds.
         follow: Reads the mirror of another node, if there is one to follow.
 
     Attributes:
@@ -55,12 +55,13 @@
         revision: Revision of the store up to which no change is missing.
         current_at: Monotonic time at which the mirror was last known to be
             current; negative before the first successful read.
-        essential_at: Monotonic time at which the last scan of all keys except
-            the deferred ones began; negative before the first one.
+        essential_at: Monotonic time at which the last successful scan of all
+            keys except the deferred ones began; negative if there was none.
         recovered_at: Monotonic time at which the last outage of the store
             ended.
         is_following: Whether another node's mirror is followed.
-        is_unreachable: Whether neither the store nor another node responds.
+        is_unreachable: Whether the store does not respond and there is no other
+            node to follow whose mirror is recent.
         checksum: Checksum of all keys and their revisions, except the excluded
             ones; equal on nodes with equal state.
         differs_since: Monotonic time since which the checksum differs from
@@ -68,8 +69,12 @@
         is_loading: Whether all keys are being read.
         on_reloaded: Called after all keys were read, since changes may have
             been missed before.
-        changed: Event that is set and replaced at each change.
-        pause_skipped: Event that ends the pause before the next watch.
+        excluded_prefix: Prefix that scans exclude; empty for none.
+        deferred_prefix: Prefix that is scanned last; empty for none.
+        follow_scope: Cancel scope of the request to the followed node.
+        changed: Event that is set and replaced after each read of changes, and
+            after this node's own writes to batches.
+        pause_skipped: Event that ends the pause before the next read.
         log: The latest changes, for nodes that follow this one.
         position: Position in the change log of the followed node.
     """
@@ -116,8 +121,8 @@
     def exclude_prefix(self, prefix: str) -> None:
         """Excludes the keys under a prefix from scans of the store.
 
-        Their changes are still received; the listener reads the other keys on
-        demand.
+        Changes under the prefix are still received. Entries that existed before
+        the scan are not; the listener reads them from the store on demand.
         """
         self.excluded_prefix = prefix
 
@@ -132,7 +137,7 @@
     def restart_follow(self) -> None:
         """Cancels a pending request to the followed node and sends a new one.
 
-        The new request carries the current interest of this node.
+        The new request names the batches that this node needs at present.
         """
         self.follow_scope.cancel()
         self.skip_pause()
@@ -160,7 +165,7 @@
         return found
 
     def skip_pause(self) -> None:
-        """Reads the next changes without a pause."""
+        """Ends the pause before the next read of changes."""
         self.pause_skipped.set()
 
     def apply(self, entry: stores.Entry) -> None:
--- a/src/kingcupscale/storage/view.py
+++ b/src/kingcupscale/storage/view.py
@@ -21,7 +21,8 @@
     Attributes:
         current_at: Monotonic time at which the mirror was last known to be
             current; negative before the first successful read.
-        is_unreachable: Whether neither the store nor another node responds.
+        is_unreachable: Whether the store does not respond and there is no other
+            node to follow whose mirror is recent.
     """
 
     current_at: float
--- a/tests/platform/test_replication.py
+++ b/tests/platform/test_replication.py
@@ -45,8 +45,8 @@
             if not run:
                 events, before = _events(1, 8, "c"), ""
             text = replication.TextUpdate("i1", events, before=before)
-            copy = replication.ReplicationRequest("engines", [text])
-            self.assertEqual(coordinator.apply_copy(copy), is_applied)
+            request = replication.ReplicationRequest("engines", [text])
+            self.assertEqual(coordinator.apply_copy(request), is_applied)
             expected = known
             if is_applied:
                 expected = events if not run else known + events
@@ -67,7 +67,7 @@
                 for item in list(coordinator.partial_texts):
                     coordinator.partial_texts[item] = _events(1, 3, "other")
             await trio.sleep(2)
-            made = holder.runtime.services["engines"].coordinator
+            sender = holder.runtime.services["engines"].coordinator
             found = [
                 text
                 for node in others
@@ -77,6 +77,6 @@
                 if len(text) > 3
             ]
             self.assertEqual(len(found), 6)
-            texts = [sample.events for sample in made.open_samples()]
+            texts = [sample.events for sample in sender.open_samples()]
             for text in found:
                 self.assertTrue(any(t[: len(text)] == text for t in texts))
--- a/tests/storage/test_polling.py
+++ b/tests/storage/test_polling.py
@@ -9,7 +9,7 @@
 import parameterized
 import trio
 
-from kingcupscale.peering import pace
+from kingcupscale.peering import polling
 from kingcupscale.peering import relay
 from tests import virtual
 from tests.platform import harness
@@ -28,7 +28,7 @@
     def test_interval_grows_with_the_fleet_up_to_a_limit(
         self, _, nodes, apply_s, expected
     ):
-        found = pace.idle_poll_interval_s(nodes, apply_s)
+        found = polling.idle_poll_interval_s(nodes, apply_s)
         self.assertAlmostEqual(found, expected)
 
     @virtual.on_virtual_time
--- a/tests/storage/test_relay.py
+++ b/tests/storage/test_relay.py
@@ -106,9 +106,9 @@
         async with trio.open_nursery() as nursery:
             await trio.sleep(5)
             nursery.start_soon(change)
-            asked_at = trio.current_time()
+            requested_at = trio.current_time()
             changes = await client.follow(
                 "n1", changelog.Position("", 0, 9), interest.EVERYTHING
             )
         self.assertEqual(changes.entries, [])
-        self.assertLessEqual(asked_at - changes.age_s, mirror.current_at)
+        self.assertLessEqual(requested_at - changes.age_s, mirror.current_at)
