--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -206,7 +206,7 @@
     Break(
         "a broken connection ends alone",
         "web/worker.py",
-        "        except Exception as e:\n            _log(e)\n"
+        "        except Exception as e:\n            _log_error(e)\n"
         "        except BaseExceptionGroup as group:",
         "        except ZeroDivisionError as group:",
         "tests.test_web_server.ConnectionTest",
@@ -486,8 +486,8 @@
         "a request that was read at a stop is answered",
         "web/worker.py",
         "        if not self.has_bytes:\n"
-        "            self.close_unless_answering()",
-        "        self.gone.set()\n        self.socket.close()",
+        "            self.close_unless_handling()",
+        "        self.closed.set()\n        self.socket.close()",
         "tests.test_web_connections.StopTest",
     ),
     Break(
@@ -500,7 +500,7 @@
     Break(
         "a head that comes for ever has an end",
         "web/worker.py",
-        "if stream.has_bytes and waited_s > times.header_timeout_s:",
+        "if stream.has_bytes and waited_s > allowed.header_timeout_s:",
         "if False:",
         "tests.test_web_connections.IdleTest",
     ),
--- a/src/kingcupscale/web/__init__.py
+++ b/src/kingcupscale/web/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP as the product uses it: messages, one server, one client."""
+"""HTTP messages, server and client."""
--- a/src/kingcupscale/web/httpclient.py
+++ b/src/kingcupscale/web/httpclient.py
@@ -1,4 +1,4 @@
-"""Sending requests: the interface, and the client by httpcore."""
+"""The HTTP client: its interface, and an implementation with httpcore."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -15,11 +15,11 @@
 
 
 class RequestError(Exception):
-    """An exchange that brought no whole answer.
+    """A request that got no complete response.
 
     Args:
         reason: What went wrong.
-        may_have_been_sent: Whether a byte of the request may have left.
+        may_have_been_sent: Whether any byte of the request may have been sent.
     """
 
     def __init__(self, reason: str, may_have_been_sent: bool) -> None:
@@ -29,20 +29,20 @@
 
 
 class HttpClient(Protocol):
-    """Carries requests to an address and brings answers back."""
+    """Sends HTTP requests and returns their responses."""
 
     def open(
         self, address: str, request: message.Request, timeout_s: float
     ) -> contextlib.AbstractAsyncContextManager[message.Response]:
-        """Sends a request; leaving the context early abandons the answer.
+        """Sends a request; leaving the context early aborts the response.
 
         Args:
             address: ``host:port``.
-            request: What to send.
-            timeout_s: Seconds for the connection and for each read.
+            request: The request.
+            timeout_s: Timeout of opening the connection and of each read.
 
         Raises:
-            RequestError: If no answer comes, or it breaks off.
+            RequestError: If no response arrives, or it is cut off.
         """
         ...
 
@@ -54,72 +54,82 @@
     timeout_s: float,
     max_bytes: int | None = None,
 ) -> message.Response:
-    """Sends a request and returns the whole answer.
+    """Sends a request and returns the response with its whole body.
 
     Args:
-        http_client: What carries the request.
+        http_client: The client that sends the request.
         address: ``host:port``.
-        request: What to send.
-        timeout_s: Seconds for the whole exchange.
-        max_bytes: Longest body that makes sense; None for any.
+        request: The request.
+        timeout_s: Timeout of the whole request.
+        max_bytes: Longest valid response body; None for no limit.
 
     Raises:
-        RequestError: If no whole answer comes in time.
+        RequestError: If no complete response arrives in time, or its body is
+            too long.
     """
     with trio.move_on_after(timeout_s):
         async with http_client.open(address, request, timeout_s) as response:
             if not await response.read_at_most(max_bytes):
-                raise RequestError("body too long", may_have_been_sent=True)
+                raise RequestError(
+                    "response body too long", may_have_been_sent=True
+                )
             return response
-    raise RequestError("no whole answer in time", may_have_been_sent=True)
+    raise RequestError("no complete response in time", may_have_been_sent=True)
 
 
-_NOT_SENT = (
+_NOT_SENT_ERRORS = (
     httpcore.ConnectError,
     httpcore.ConnectTimeout,
     httpcore.PoolTimeout,
     httpcore.UnsupportedProtocol,
     httpcore.LocalProtocolError,
 )
-_BROKEN = (httpcore.NetworkError, httpcore.ProtocolError)
-_HTTP_ERRORS = (*_NOT_SENT, *_BROKEN, httpcore.TimeoutException)
+_CONNECTION_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError)
+_HTTP_ERRORS = (
+    *_NOT_SENT_ERRORS,
+    *_CONNECTION_ERRORS,
+    httpcore.TimeoutException,
+)
 
 
-# How long sent bytes may stay unacknowledged before the connection ends.
-SILENCE_MS = 1500
-PROBE_AFTER_S = 1
-PROBES = 2
-# Every close is a reset: bytes of an abandoned request that a partition holds
-# up must not reach the peer once it ends, when nobody wants them any more.
+# A connection is closed if sent bytes stay unacknowledged for this long.
+UNACKNOWLEDGED_TIMEOUT_MS = 1500
+# TCP keep-alive: seconds until the first probe and between probes, and number
+# of unanswered probes after which the connection is closed.
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 2
+# SO_LINGER with timeout 0 closes every connection with a TCP reset. Otherwise,
+# bytes of an aborted request that a network partition delays would still reach
+# the peer when the partition ends.
 _RESET = struct.pack("ii", 1, 0)
 _SOCKET_OPTIONS = [
     (socket.SOL_SOCKET, socket.SO_LINGER, _RESET),
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENCE_MS),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_AFTER_S),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
 ]
 
 
 class PooledHttpClient:
     """Sends requests over HTTP/1.1 with pooled connections.
 
-    Each address has a pool of its own, as a pool looks at all of its
-    connections at each request. A peer that goes silent is noticed by the
-    kernel: unacknowledged bytes and unanswered keep-alive probes end the
-    connection. An exchange that is given up resets its connection, so that
-    nothing of it arrives later.
+    Each address has its own connection pool, because a pool iterates over all
+    of its connections at each request. The kernel detects unresponsive peers:
+    unacknowledged bytes and unanswered keep-alive probes close the connection.
+    A request that is aborted resets its connection, so that none of its bytes
+    arrive later.
 
     Args:
-        max_connections: The most connections to one address at a time.
-        idle_s: Seconds after which an idle connection is not used again, and
-            the pool of an address that nothing is sent to is closed.
-        backend: Opens connections; None for the one of the event loop.
+        max_connections: Most connections to one address.
+        idle_s: Timeout of idle connections. The pool of an address that got
+            no requests for this long is closed.
+        backend: Opens connections; None for the default of the event loop.
 
     Attributes:
-        pools: The pool of each address that was of use lately.
+        pools: The pools of recently used addresses, by address.
     """
 
     def __init__(
@@ -132,58 +142,60 @@
         self.idle_s = idle_s
         self.backend = backend
         self.pools: dict[str, AddressPool] = {}
-        self.swept_at = 0.0
+        self.checked_at = 0.0
 
     async def aclose(self) -> None:
         """Closes all connections."""
         pools, self.pools = self.pools, {}
-        for kept in pools.values():
-            await kept.pool.aclose()
+        for address_pool in pools.values():
+            await address_pool.pool.aclose()
 
     @contextlib.asynccontextmanager
     async def open(
         self, address: str, request: message.Request, timeout_s: float
     ) -> AsyncIterator[message.Response]:
-        """Sends a request over a pooled connection."""
-        await self._sweep()
-        kept = self.pools.get(address)
-        if kept is None:
-            kept = self.pools[address] = AddressPool(
+        """Sends a request over a connection of the address's pool."""
+        await self._close_idle_pools()
+        address_pool = self.pools.get(address)
+        if address_pool is None:
+            address_pool = self.pools[address] = AddressPool(
                 make_pool(self.max_connections, self.idle_s, self.backend)
             )
-        kept.exchanges += 1
+        address_pool.active_requests += 1
         try:
-            async with send(kept.pool, address, request, timeout_s) as response:
+            async with send(
+                address_pool.pool, address, request, timeout_s
+            ) as response:
                 yield response
         finally:
-            kept.exchanges -= 1
-            kept.used_at = trio.current_time()
+            address_pool.active_requests -= 1
+            address_pool.used_at = trio.current_time()
 
-    async def _sweep(self) -> None:
-        """Closes pools of addresses that nothing was sent to for long."""
+    async def _close_idle_pools(self) -> None:
+        """Closes the pools of addresses that have been idle for too long."""
         now = trio.current_time()
-        if now - self.swept_at < self.idle_s:
+        if now - self.checked_at < self.idle_s:
             return
-        self.swept_at = now
-        for address, kept in list(self.pools.items()):
-            is_idle = now - kept.used_at > self.idle_s
-            if is_idle and not kept.exchanges:
+        self.checked_at = now
+        for address, address_pool in list(self.pools.items()):
+            is_idle = now - address_pool.used_at > self.idle_s
+            if is_idle and not address_pool.active_requests:
                 del self.pools[address]
-                await kept.pool.aclose()
+                await address_pool.pool.aclose()
 
 
 @attrs.define
 class AddressPool:
-    """The connections to one address.
+    """The connection pool of one address.
 
     Attributes:
-        pool: Keeps them.
-        exchanges: Exchanges under way.
-        used_at: Time of the event loop at which the last one ended.
+        pool: The connections.
+        active_requests: Number of requests in progress.
+        used_at: Time of the event loop at which the last request ended.
     """
 
     pool: httpcore.AsyncConnectionPool
-    exchanges: int = 0
+    active_requests: int = 0
     used_at: float = 0.0
 
 
@@ -192,12 +204,12 @@
     idle_s: float,
     backend: httpcore.AsyncNetworkBackend | None = None,
 ) -> httpcore.AsyncConnectionPool:
-    """Returns a pool whose connections notice silent peers.
+    """Returns a connection pool that detects unresponsive peers.
 
     Args:
-        max_connections: The most connections open at a time.
-        idle_s: Seconds after which an idle connection is not used again.
-        backend: Opens connections; None for the one of the event loop.
+        max_connections: Most open connections.
+        idle_s: Timeout of idle connections.
+        backend: Opens connections; None for the default of the event loop.
     """
     return httpcore.AsyncConnectionPool(
         max_connections=max_connections,
@@ -218,7 +230,7 @@
     """Sends a request over a connection of a pool.
 
     Raises:
-        RequestError: If no answer comes, or it breaks off.
+        RequestError: If no response arrives, or it is cut off.
     """
     stream = pool.stream(
         request.method,
@@ -230,17 +242,20 @@
     connect_s = request.connect_timeout_s or timeout_s
     try:
         async with contextlib.AsyncExitStack() as stack:
-            # Each read has its time; heads that never end need one as well.
+            # The timeout of each read does not limit headers that never end,
+            # so the headers as a whole need one.
             with trio.move_on_after(connect_s + timeout_s) as scope:
-                answer = await stack.enter_async_context(stream)
+                response = await stack.enter_async_context(stream)
             if scope.cancelled_caught:
-                raise RequestError("no head in time", may_have_been_sent=True)
+                raise RequestError(
+                    "no response headers in time", may_have_been_sent=True
+                )
             yield message.Response(
-                answer.status,
-                _decode_headers(answer.headers),
-                chunks=answer.aiter_stream(),
+                response.status,
+                _decode_headers(response.headers),
+                chunks=response.aiter_stream(),
             )
-    except _NOT_SENT as e:
+    except _NOT_SENT_ERRORS as e:
         raise RequestError(repr(e), may_have_been_sent=False) from e
     except _HTTP_ERRORS as e:
         raise RequestError(repr(e), may_have_been_sent=True) from e
--- a/src/kingcupscale/web/httprouter.py
+++ b/src/kingcupscale/web/httprouter.py
@@ -1,26 +1,26 @@
-"""Choosing a handler by method and path."""
+"""Dispatches HTTP requests to handlers by method and path."""
 
 from kingcupscale import errors
 from kingcupscale.web import message
 
 
 class HttpRouter:
-    """Handlers by path, exact ones first, then the longest prefix."""
+    """Dispatches requests by exact path first, then by the longest prefix."""
 
     def __init__(self) -> None:
         self.exact: dict[str, dict[str, message.Handler]] = {}
         self.prefixes: dict[str, message.Handler] = {}
 
     def add(self, method: str, path: str, handler: message.Handler) -> None:
-        """Serves one method of one path."""
+        """Adds the handler of one method of one path."""
         self.exact.setdefault(path, {})[method] = handler
 
     def add_prefix(self, prefix: str, handler: message.Handler) -> None:
-        """Serves every method and path under a prefix."""
+        """Adds the handler of all methods and paths under a prefix."""
         self.prefixes[prefix] = handler
 
     async def __call__(self, request: message.Request) -> message.Response:
-        """Hands a request to its handler.
+        """Passes a request to its handler.
 
         Raises:
             ServiceError: ``ROUTE_UNKNOWN`` or ``METHOD_NOT_ALLOWED``.
@@ -32,7 +32,7 @@
         if handler is None:
             raise errors.ServiceError(
                 errors.ResultCode.METHOD_NOT_ALLOWED,
-                f"{request.path} takes {', '.join(sorted(methods))}",
+                f"{request.path} supports {', '.join(sorted(methods))}",
             )
         return await handler(request)
 
@@ -41,5 +41,6 @@
             if path.startswith(prefix):
                 return self.prefixes[prefix]
         raise errors.ServiceError(
-            errors.ResultCode.ROUTE_UNKNOWN, f"nothing under {path[:80]}"
+            errors.ResultCode.ROUTE_UNKNOWN,
+            f"no route matches the path {path[:80]}",
         )
--- a/src/kingcupscale/web/limits.py
+++ b/src/kingcupscale/web/limits.py
@@ -1,4 +1,4 @@
-"""What clients of a listener may send, and how long they may take."""
+"""Size limits and timeouts of HTTP requests and connections."""
 
 from collections.abc import Callable
 
@@ -7,14 +7,15 @@
 
 @attrs.frozen
 class Limits:
-    """What a client may send.
+    """Limits of the requests and connections of a listener.
 
     Attributes:
-        body_bytes: Largest body.
-        header_bytes: Largest request head.
-        body_timeout_s: Seconds for a body to arrive.
-        header_timeout_s: Seconds for a head to arrive, from its first byte.
-        idle_s: Seconds that a connection may stay without a request.
+        body_bytes: Largest request body.
+        header_bytes: Largest size of request line and headers.
+        body_timeout_s: Timeout for receiving the body.
+        header_timeout_s: Timeout for receiving the headers, from their first
+            byte.
+        idle_s: Timeout of idle connections.
     """
 
     body_bytes: int = 4 * 1024 * 1024
@@ -24,10 +25,10 @@
     idle_s: float = 15.0
 
 
-# Returns the limits that hold now; a configuration may change them.
+# Returns the limits in force; a new configuration may change them.
 LimitsProvider = Callable[[], Limits]
 
 
 def constant(limits: Limits) -> LimitsProvider:
-    """Returns limits that never change."""
+    """Returns a provider of limits that never change."""
     return lambda: limits
--- a/src/kingcupscale/web/message.py
+++ b/src/kingcupscale/web/message.py
@@ -1,4 +1,4 @@
-"""HTTP requests and responses, the same in memory and on the wire."""
+"""HTTP requests and responses, independent of the transport."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Callable
@@ -16,12 +16,12 @@
 
 
 def allow_send() -> None:
-    """Lets a request leave; the default of ``Request.before_send``."""
+    """Allows every request; the default of ``Request.before_send``."""
 
 
 @attrs.define
 class Request:
-    """A request.
+    """An HTTP request.
 
     Attributes:
         method: Upper-case method.
@@ -30,9 +30,9 @@
         headers: Header values by lower-case name.
         body: The whole body.
         before_send: Called after the connection is open and right before the
-            first byte leaves; raises to keep the request from leaving.
-        connect_timeout_s: Seconds for the connection alone; None for the
-            timeout of the whole exchange.
+            first byte is sent; raises to prevent that.
+        connect_timeout_s: Timeout of opening the connection; None for the
+            timeout of the whole request.
     """
 
     method: str
@@ -44,7 +44,7 @@
     connect_timeout_s: float | None = None
 
     def parse(self, kind: type[T]) -> T:
-        """Reads the body as a typed message.
+        """Decodes the body as a typed message.
 
         Raises:
             ServiceError: ``BODY_MALFORMED`` or ``BODY_INVALID``.
@@ -63,14 +63,14 @@
 
 @attrs.define
 class Response:
-    """A response, either whole or streamed.
+    """An HTTP response with a complete or a streamed body.
 
     Attributes:
         status: HTTP status.
         headers: Header values by lower-case name.
-        body: The whole body when ``chunks`` is None.
-        chunks: The body's pieces as they come.
-        signature: The backend server's signature, where it gave one.
+        body: The whole body if ``chunks`` is None.
+        chunks: Chunks of the body as they arrive.
+        signature: The backend server's signature; empty if it gave none.
     """
 
     status: int = 200
@@ -80,33 +80,34 @@
     signature: str = ""
 
     async def read(self) -> bytes:
-        """Returns the whole body, waiting for the last piece."""
+        """Reads and returns the whole body."""
         await self.read_at_most(None)
         return self.body
 
     async def read_at_most(self, max_bytes: int | None) -> bool:
-        """Reads the body as far as it may go; whether that is all of it.
+        """Reads the body up to a limit; returns whether it is complete.
 
         Args:
-            max_bytes: Bytes after which no more is read; None for no bound.
+            max_bytes: Reading stops when the body is longer than this; None
+                for no limit.
         """
         if self.chunks is None:
             return True
-        pieces = [self.body]
+        chunks_read = [self.body]
         size = len(self.body)
-        async for piece in self.chunks:
-            pieces.append(piece)
-            size += len(piece)
+        async for chunk in self.chunks:
+            chunks_read.append(chunk)
+            size += len(chunk)
             if max_bytes is not None and size > max_bytes:
-                self.body = b"".join(pieces)
+                self.body = b"".join(chunks_read)
                 return False
-        self.body = b"".join(pieces)
+        self.body = b"".join(chunks_read)
         self.chunks = None
         return True
 
 
 class Handler(Protocol):
-    """Answers requests."""
+    """Handles requests."""
 
     async def __call__(self, request: Request) -> Response:
         """Returns the response to one request."""
@@ -121,7 +122,7 @@
 
 
 def error_response(error: errors.ServiceError) -> Response:
-    """Returns the response that shows an error."""
+    """Returns the response that reports an error."""
     response = json_response(error.to_body(), error.code.status)
     if error.retry_after_s is not None:
         seconds = max(1, round(error.retry_after_s))
@@ -132,6 +133,6 @@
 def json_request(
     path: str, value: Any, headers: dict[str, str] | None = None
 ) -> Request:
-    """Returns a POST with a typed message or plain data as JSON."""
+    """Returns a POST request with a typed message or plain data as JSON."""
     fields = {"content-type": "application/json", **(headers or {})}
     return Request("POST", path, "", fields, codec.encode(value))
--- a/src/kingcupscale/web/server.py
+++ b/src/kingcupscale/web/server.py
@@ -1,4 +1,4 @@
-"""Serving handlers over HTTP with hypercorn."""
+"""Serves HTTP handlers with hypercorn."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -18,14 +18,14 @@
 
 
 class Application:
-    """An ASGI application before one handler.
+    """An ASGI application that passes requests to one handler.
 
-    A client that disconnects cancels the handler, and with it the work of
-    backend servers.
+    If a client disconnects, the handler is cancelled, and with it the requests
+    that it has sent to backend servers.
 
     Args:
-        handler: Answers the requests.
-        get_limits: Returns what a client may send.
+        handler: Handles the requests.
+        get_limits: Returns the limits in force.
     """
 
     def __init__(
@@ -50,12 +50,12 @@
         response: message.Response | None = None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_cancel_on_disconnect, nursery, receive)
-            sending = await answer(self.handler, request)
-            await _send_head(sending, send)
-            response = sending
+            handled = await answer(self.handler, request)
+            await _send_head(handled, send)
+            response = handled
             nursery.cancel_scope.cancel()
-        # hypercorn reports a disconnect while it ends a response in order, so
-        # nobody may listen for one during the last piece.
+        # hypercorn also reports a disconnect when it completes a response, so
+        # the last chunk is sent after the disconnect watcher is cancelled.
         if response is not None:
             await _send_body(send, response.body, more=False)
 
@@ -82,13 +82,13 @@
         if size > self.get_limits().header_bytes:
             raise errors.ServiceError(
                 errors.ResultCode.HEADERS_TOO_LARGE,
-                f"the limit is {self.get_limits().header_bytes} bytes",
+                f"the headers exceed {self.get_limits().header_bytes} bytes",
             )
 
     def _check_declared_length(self, headers: dict[str, str]) -> None:
         length = headers.get("content-length", "0")
         if length.isdigit() and int(length) > self.get_limits().body_bytes:
-            raise self._too_large()
+            raise self._make_too_large_error()
 
     async def _read_body(self, receive: Any) -> bytes:
         body = bytearray()
@@ -98,21 +98,21 @@
                 raise errors.ServiceError(errors.ResultCode.BODY_MALFORMED)
             body += event.get("body", b"")
             if len(body) > self.get_limits().body_bytes:
-                raise self._too_large()
+                raise self._make_too_large_error()
             if not event.get("more_body", False):
                 return bytes(body)
 
-    def _too_large(self) -> errors.ServiceError:
+    def _make_too_large_error(self) -> errors.ServiceError:
         return errors.ServiceError(
             errors.ResultCode.BODY_TOO_LARGE,
-            f"the limit is {self.get_limits().body_bytes} bytes",
+            f"the body exceeds {self.get_limits().body_bytes} bytes",
         )
 
 
 async def answer(
     handler: message.Handler, request: message.Request
 ) -> message.Response:
-    """Returns a handler's response, errors turned into numbered ones."""
+    """Returns a handler's response; errors become error responses."""
     try:
         return await handler(request)
     except errors.ServiceError as e:
@@ -126,7 +126,7 @@
         return message.error_response(
             errors.ServiceError(
                 errors.ResultCode.INTERNAL,
-                f"unexpected {type(e).__name__}",
+                f"the handler raised {type(e).__name__}",
                 errors.Run.UNKNOWN,
             )
         )
@@ -152,7 +152,11 @@
 
 
 async def _send_head(response: message.Response, send: Any) -> None:
-    """Sends everything but the last piece of the body."""
+    """Sends the headers, and the body if it is streamed.
+
+    The caller sends the last chunk: the whole body if it is not streamed, or
+    an empty chunk.
+    """
     headers = [
         (name.encode("latin-1"), value.encode("latin-1"))
         for name, value in response.headers.items()
@@ -185,25 +189,25 @@
     graceful_timeout_s: float = 60.0,
     task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serves a handler until told to stop, then ends the open requests.
+    """Serves a handler until shutdown, then completes the open requests.
 
     Args:
-        handler: Answers the requests.
-        bind: ``host:port``; port 0 lets the system choose.
-        get_limits: Returns what a client may send.
-        shutdown: Returns when the server is to stop.
-        graceful_timeout_s: Seconds that open requests get to end.
-        task_status: Told the bound ``host:port``.
+        handler: Handles the requests.
+        bind: ``host:port``; with port 0 the system chooses a port.
+        get_limits: Returns the limits in force.
+        shutdown: Returns when the server has to shut down.
+        graceful_timeout_s: Timeout of completing the open requests.
+        task_status: Is started with the bound ``host:port``.
     """
     config = hypercorn.config.Config()
     config.bind = [bind]
     config.errorlog = None
-    # Idle connections are closed by the worker, which knows whether a request
-    # is being read on them.
+    # The worker closes idle connections itself, because it knows whether a
+    # request is being read on them.
     config.keep_alive_timeout = math.inf
     config.graceful_timeout = graceful_timeout_s
     config.include_server_header = False
     config.include_date_header = False
     application = Application(handler, get_limits)
-    serving = worker.Worker(application, config, get_limits)
-    await serving.serve(shutdown, task_status)
+    server_worker = worker.Worker(application, config, get_limits)
+    await server_worker.serve(shutdown, task_status)
--- a/src/kingcupscale/web/worker.py
+++ b/src/kingcupscale/web/worker.py
@@ -1,7 +1,7 @@
-"""Accepting connections for an ASGI application, each one for itself.
+"""Accepts connections for an ASGI application and isolates their errors.
 
-Hypercorn's own worker ends as a whole when one connection ends with an error
-that it does not expect; here such an error ends that connection only.
+Hypercorn's own worker stops as a whole when a connection raises an unexpected
+error. Here, such an error closes only the connection that raised it.
 """
 
 from collections.abc import Awaitable
@@ -19,16 +19,17 @@
 from kingcupscale import events
 from kingcupscale.web import limits
 
-# What still runs for a connection this long after its end waits for something
-# that can't come, such as a pipelined request behind an answer to nobody.
-GONE_S = 1.0
-# A connection that was accepted right before a stop has this long to send its
-# request, which its client may have sent already.
-FIRST_REQUEST_S = 0.5
-# Pause between two looks at connections that may have waited too long.
-EXPIRY_PAUSE_S = 0.5
-# The same while a stop waits for the last requests to end.
-CLOSING_PAUSE_S = 0.1
+# Tasks of a closed connection are cancelled after this time. A task that still
+# runs then waits for something that never happens; for example, a pipelined
+# request waits behind a response that nobody reads.
+CLOSED_TASKS_TIMEOUT_S = 1.0
+# On shutdown, a connection without requests so far stays open for this long,
+# because its client may already have sent its first request.
+FIRST_REQUEST_TIMEOUT_S = 0.5
+# Interval between checks for expired connections.
+EXPIRY_CHECK_INTERVAL_S = 0.5
+# The same interval during shutdown.
+SHUTDOWN_CHECK_INTERVAL_S = 0.1
 
 
 class Worker:
@@ -37,7 +38,10 @@
     Args:
         application: The ASGI application.
         config: Hypercorn's settings; the first address in ``bind`` is used.
-        get_limits: Returns how long clients may take.
+        get_limits: Returns the limits in force.
+
+    Attributes:
+        streams: The open connections.
     """
 
     def __init__(
@@ -57,11 +61,11 @@
         shutdown: Callable[[], Awaitable[None]],
         task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serves until told to stop, then ends the open connections.
+        """Serves until shutdown, then closes the open connections.
 
         Args:
-            shutdown: Returns when no connection is to be accepted any more.
-            task_status: Told the bound ``host:port``.
+            shutdown: Returns when no more connections are to be accepted.
+            task_status: Is started with the bound ``host:port``.
         """
         host, _, port = self.config.bind[0].rpartition(":")
         (listener,) = await trio.open_tcp_listeners(
@@ -89,67 +93,67 @@
     async def _close_idle_connections(self) -> None:
         """Closes connections on which no request has begun to arrive.
 
-        Hypercorn's own way is not used: it closes a connection also while a
-        request on it is being read, at a stop as well as at a time-out.
+        Hypercorn's own method is not used, because on shutdown and on timeouts
+        it also closes connections on which a request is being read.
         """
         for stream in list(self.streams):
             if stream.is_used:
                 stream.close_if_idle()
         if self.streams:
-            await trio.sleep(FIRST_REQUEST_S)
+            await trio.sleep(FIRST_REQUEST_TIMEOUT_S)
         while self.streams:
             for stream in list(self.streams):
                 stream.close_if_idle()
             self._close_expired()
-            await trio.sleep(CLOSING_PAUSE_S)
+            await trio.sleep(SHUTDOWN_CHECK_INTERVAL_S)
 
     async def _close_expired_forever(self) -> None:
         while True:
-            await trio.sleep(EXPIRY_PAUSE_S)
+            await trio.sleep(EXPIRY_CHECK_INTERVAL_S)
             self._close_expired()
 
     def _close_expired(self) -> None:
-        """Closes connections that are idle, or whose head comes, too long."""
-        now, times = trio.current_time(), self.get_limits()
+        """Closes connections whose idle or header timeout has passed."""
+        now, allowed = trio.current_time(), self.get_limits()
         for stream in list(self.streams):
             waited_s = now - stream.since
-            if stream.has_bytes and waited_s > times.header_timeout_s:
-                stream.close_unless_answering()
-            elif waited_s > times.idle_s:
+            if stream.has_bytes and waited_s > allowed.header_timeout_s:
+                stream.close_unless_handling()
+            elif waited_s > allowed.idle_s:
                 stream.close_if_idle()
 
     async def _serve_connection(self, accepted: trio.SocketStream) -> None:
-        """Serves one connection until it is done or gone."""
+        """Serves one connection until it is complete or closed."""
         stream = WatchedStream(accepted)
         self.streams.add(stream)
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._run, stream, nursery.cancel_scope)
-                await stream.gone.wait()
-                await trio.sleep(GONE_S)
+                await stream.closed.wait()
+                await trio.sleep(CLOSED_TASKS_TIMEOUT_S)
                 nursery.cancel_scope.cancel()
         finally:
             self.streams.discard(stream)
             await trio.aclose_forcefully(stream)
 
-    async def _answer(
+    async def _handle_request(
         self, stream: "WatchedStream", scope: Any, receive: Any, send: Any
     ) -> None:
-        """Answers one request, noting that the connection is in use."""
+        """Handles one request and marks the connection as in use meanwhile."""
         stream.requests += 1
         try:
             await self.application(scope, receive, send)
         finally:
             stream.requests -= 1
-            stream.note_answered()
+            stream.mark_handled()
 
     async def _run(
         self, stream: "WatchedStream", connection: trio.CancelScope
     ) -> None:
-        """Runs hypercorn's server; what goes wrong ends only this one."""
-        application = functools.partial(self._answer, stream)
-        # What is read of a head before it is refused; the limit itself is
-        # checked once the head is there.
+        """Runs hypercorn's server; an error closes only this connection."""
+        application = functools.partial(self._handle_request, stream)
+        # Most bytes of incomplete headers that hypercorn reads. The application
+        # checks the limit itself when the headers are complete.
         self.config.h11_max_incomplete_size = 2 * self.get_limits().header_bytes
         server = hypercorn.trio.tcp_server.TCPServer(
             hypercorn.app_wrappers.ASGIWrapper(application),
@@ -161,60 +165,60 @@
         try:
             await server.run()
         except Exception as e:
-            _log(e)
+            _log_error(e)
         except BaseExceptionGroup as group:
             failures, others = group.split(Exception)
             if failures is not None:
-                _log(failures)
+                _log_error(failures)
             if others is not None:
                 raise others from None
         connection.cancel()
 
 
 class WatchedStream(trio.abc.HalfCloseableStream):
-    """A connection that tells when it is idle, closed or broken.
+    """A connection that tracks whether it is idle, closed or broken.
 
     Args:
         stream: The connection.
 
     Attributes:
-        socket: Its socket.
-        gone: Set once nothing can be sent any more.
-        requests: Requests that are being answered.
+        socket: The connection's socket.
+        closed: Set when nothing can be sent any more.
+        requests: Number of requests being handled.
         has_bytes: Whether bytes of a further request have been read.
-        is_used: Whether a request has been answered.
-        since: Time of the event loop since which it has been idle, or at which
-            the first byte of a request came.
+        is_used: Whether any request has been handled.
+        since: Time of the event loop at which it became idle, or at which the
+            first byte of a request arrived.
     """
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self.stream = stream
         self.socket = stream.socket
-        self.gone = trio.Event()
+        self.closed = trio.Event()
         self.requests = 0
         self.has_bytes = False
         self.is_used = False
         self.since = trio.current_time()
 
-    def note_answered(self) -> None:
-        """Notes the end of a request: what comes next is another one's."""
+    def mark_handled(self) -> None:
+        """Records the end of a request; later bytes belong to the next one."""
         self.has_bytes = False
         self.is_used = True
         self.since = trio.current_time()
 
     def close_if_idle(self) -> None:
-        """Closes the connection unless a request is being read or answered."""
+        """Closes the connection unless a request is being read or handled."""
         if not self.has_bytes:
-            self.close_unless_answering()
+            self.close_unless_handling()
 
-    def close_unless_answering(self) -> None:
-        """Closes the connection unless a request is being answered."""
+    def close_unless_handling(self) -> None:
+        """Closes the connection unless a request is being handled."""
         if not self.requests:
-            self.gone.set()
+            self.closed.set()
             self.socket.close()
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Returns some received data; nothing at its end."""
+        """Returns received data; empty at the end of the stream."""
         try:
             data = await self.stream.receive_some(max_bytes)
         except trio.ClosedResourceError:
@@ -229,24 +233,24 @@
         try:
             await self.stream.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            self.gone.set()
+            self.closed.set()
             raise
 
     async def wait_send_all_might_not_block(self) -> None:
-        """Waits until sending is likely to go on at once."""
+        """Waits until sending is likely not to block."""
         await self.stream.wait_send_all_might_not_block()
 
     async def send_eof(self) -> None:
-        """Tells the other side that nothing more is sent."""
+        """Closes the sending side of the connection."""
         await self.stream.send_eof()
 
     async def aclose(self) -> None:
         """Closes the connection."""
-        self.gone.set()
+        self.closed.set()
         await self.stream.aclose()
 
 
-def _log(error: Exception | BaseExceptionGroup) -> None:
+def _log_error(error: Exception | BaseExceptionGroup) -> None:
     """Logs the innermost error of a connection."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
