--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -178,7 +178,7 @@
         "gateway/forwarder.py",
         "state.route.allows_retry()\n            and state.sent",
         "state.sent",
-        SITE + "test_calls.CallTest.test_lost_answer",
+        SITE + "test_calls.CallTest.test_response_without_signature_or_id",
     ),
     Break(
         "usage counts are whole",
@@ -223,14 +223,14 @@
         "web/httpclient.py",
         "    (socket.SOL_SOCKET, socket.SO_LINGER, _RESET),\n",
         "",
-        "tests.test_web_server.ExchangeTest",
+        "tests.test_web_server.HttpClientTest",
     ),
     Break(
         "an answer that names no request is nobody's",
         "platform/servers.py",
         "is_refusal_without_id = echoed is None and answer.not_executed",
         "is_refusal_without_id = echoed is None",
-        SITE + "test_calls.CallTest.test_lost_answer",
+        SITE + "test_calls.CallTest.test_response_without_signature_or_id",
     ),
     Break(
         "a node's entry does not go for good",
@@ -396,7 +396,7 @@
         "web/httpclient.py",
         "with trio.move_on_after(connect_s + timeout_s) as scope:",
         "with trio.CancelScope() as scope:",
-        SITE + "test_endless.EndlessTest.test_report_and_order_end_in_time",
+        SITE + "test_endless.EndlessTest.test_status_and_order_end_in_time",
     ),
     Break(
         "a body without end takes little memory",
--- a/tests/platform/endlessserver.py
+++ b/tests/platform/endlessserver.py
@@ -1,4 +1,4 @@
-"""A server on a real socket whose answers never end."""
+"""Backend servers on real sockets that send endless or repeated responses."""
 
 import re
 
@@ -6,8 +6,8 @@
 
 PIECE = b"x" * 16_384
 EVENTS_AT_ONCE = 50
-# Bytes without end stop here, so that a client that reads on fails the test
-# instead of filling the machine's memory.
+# A response ends here after all, so that a client that keeps reading fails the
+# test instead of exhausting the machine's memory.
 GUARD_BYTES = 4_000_000_000
 
 SIGNED = (
@@ -25,7 +25,7 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-# What comes first, and what comes again and again.
+# By kind: the start of the response, and the part that is repeated.
 KINDS = {
     "head": (b"HTTP/1.1 200 OK\r\nX-Long: ", PIECE),
     "head_lines": (b"HTTP/1.1 200 OK\r\n", b"X-Line: y\r\n" * 1000),
@@ -46,7 +46,7 @@
 
 
 class Server:
-    """Answers every request with bytes that never end."""
+    """Answers every request with an endless response."""
 
     def __init__(self, kind):
         self.first, self.piece = KINDS[kind]
@@ -94,7 +94,7 @@
 
 
 class DuplicatingServer(Server):
-    """Sends each answer once more as the next request comes."""
+    """Repeats each response before the response to the next request."""
 
     def __init__(self):
         super().__init__("head")
--- a/tests/platform/fakeservers.py
+++ b/tests/platform/fakeservers.py
@@ -1,4 +1,4 @@
-"""The platform's engines and cloud in memory, keeping book of what they see."""
+"""In-memory backend servers and cloud that record the requests they get."""
 
 import collections
 
@@ -13,7 +13,7 @@
 
 @attrs.define
 class Run:
-    """A run that an engine began."""
+    """A run that a server has started."""
 
     request: str
     server: str
@@ -25,7 +25,7 @@
 
 
 class Server:
-    """A backend server: a model engine, or a plain one without a model."""
+    """A backend server: a model engine, or a plain server without a model."""
 
     def __init__(self, site, server_id, service, zone, model="", slots=4):
         self.site = site
@@ -176,7 +176,7 @@
 
 
 class Cloud:
-    """Takes usage reports and orders for servers."""
+    """Accepts usage reports and orders for servers."""
 
     def __init__(self, site):
         self.site = site
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -1,4 +1,4 @@
-"""Single calls before the platform's stand-in."""
+"""Single calls on the simulated platform."""
 
 import unittest
 
@@ -22,8 +22,8 @@
 
     @parameterized.parameterized.expand(
         [
-            (f"{kind}_{name}", path, losing, status, field)
-            for kind, path, losing, status in (
+            (f"{kind}_{name}", path, affected, status, field)
+            for kind, path, affected, status in (
                 ("idempotent", harness.CALL_PATH, ["p1"], 200),
                 ("once_only", "/once/", ["p1", "p2"], 502),
             )
@@ -34,37 +34,39 @@
         ]
     )
     @virtual.on_virtual_time
-    async def test_lost_answer(self, _, path, losing, status, field):
+    async def test_response_without_signature_or_id(
+        self, _, path, affected, status, field
+    ):
         async with harness.launch(nodes=1) as site:
             for name in ("p1", "p2"):
                 server = site.servers[name]
                 answer = server.run
 
-                async def lose(request, answer=answer, name=name):
+                async def strip_header(request, answer=answer, name=name):
                     response = await answer(request)
-                    if name in losing:
+                    if name in affected:
                         del response.headers[field]
                     return response
 
-                server.run = lose
+                server.run = strip_header
             response = await self._send(site, path + "1")
             self.assertEqual(response.status, status)
             if path == "/once/":
                 self.assertEqual(len(site.runs), 1)
 
     @virtual.on_virtual_time
-    async def test_servers_see_the_organisation_and_no_key(self):
+    async def test_servers_get_the_organisation_but_no_key(self):
         async with harness.launch(nodes=1) as site:
             seen = []
             for name in ("p1", "p2"):
                 server = site.servers[name]
                 answer = server.run
 
-                async def note(request, answer=answer):
+                async def record_headers(request, answer=answer):
                     seen.append(request.headers)
                     return await answer(request)
 
-                server.run = note
+                server.run = record_headers
             response = await site.call(
                 site.nodes[0],
                 "POST",
@@ -78,22 +80,22 @@
             self.assertEqual(site.violations, [])
 
     @virtual.on_virtual_time
-    async def test_full_servers_are_a_true_refusal(self):
+    async def test_full_servers_lead_to_a_rejection(self):
         async with harness.launch(nodes=1) as site:
             for name in ("p1", "p2"):
                 site.servers[name].is_full = True
-            began_at = trio.current_time()
+            started_at = trio.current_time()
             for path in (harness.CALL_PATH, "/once/"):
                 response = await self._send(site, path + "1")
                 self.assertEqual(response.status, 503)
                 self.assertGreater(float(response.headers["retry-after"]), 0)
-            self.assertLess(trio.current_time() - began_at, 1.0)
+            self.assertLess(trio.current_time() - started_at, 1.0)
             self.assertEqual(site.runs, [])
 
     @virtual.on_virtual_time
     async def test_draining_server_gets_nothing_new(self):
         async with harness.launch(nodes=1) as site:
-            # The one in the node's own zone, which it prefers.
+            # The server in the node's own zone, which it prefers.
             site.servers["p2"].state = "draining"
             site.servers["p2"].register()
             await trio.sleep(1)
@@ -119,7 +121,7 @@
         ]
     )
     @virtual.on_virtual_time
-    async def test_malformed_entry_names_no_server(self, _, value):
+    async def test_malformed_entry_registers_no_server(self, _, value):
         async with harness.launch(nodes=1) as site:
             site.store.put(names.SERVERS_PREFIX + "odd", value)
             await trio.sleep(1)
@@ -130,7 +132,7 @@
             self.assertEqual(response.status, 200)
 
     @virtual.on_virtual_time
-    async def test_entry_lapsed_with_the_store_away_keeps_its_server(self):
+    async def test_entry_that_expires_in_a_store_outage_keeps_its_server(self):
         async with harness.launch(nodes=1) as site:
             site.store.is_down = True
             await trio.sleep(4)
--- a/tests/platform/test_endless.py
+++ b/tests/platform/test_endless.py
@@ -1,4 +1,8 @@
-"""Servers that send bytes without end, on real sockets."""
+"""Servers that send bytes without end, on real sockets.
+
+A timeout of each read and a limit of single lines do not stop such a response:
+a node that reads on keeps the call open and fills its memory.
+"""
 
 import contextlib
 import random
@@ -34,7 +38,7 @@
 
 GUARD_S = 30.0
 HOLDER = locks.Holder("n1", 1, lambda: None)
-PATIENCE_S = 0.6
+CALL_TIMEOUT_S = 0.6
 HEAD_S = 0.8
 SLACK_S = 0.7
 CALLS_AT_ONCE = 50
@@ -44,11 +48,11 @@
 
 class Usage:
     def count_started(self, organisation):
-        """Counts nothing."""
+        """Does nothing."""
 
 
 class CurrentMirror:
-    """A mirror that is never old."""
+    """A mirror that is always up to date."""
 
     current_at = 0.0
     is_unreachable = False
@@ -57,8 +61,8 @@
         return 0.0
 
 
-class World:
-    """A forwarder and a generator before one endless server."""
+class Setup:
+    """A forwarder and a generator that use one endless server."""
 
     def __init__(self, server):
         self.clock = clocks.SystemClock()
@@ -108,7 +112,7 @@
         )
 
     async def send(self, number, path):
-        """Sends one call; returns the response."""
+        """Sends one call and returns its response."""
         inbound = inboundrequest.InboundRequest(
             request_id=f"r{number}",
             method="POST",
@@ -118,13 +122,13 @@
             headers={},
             body=b"?",
             key=harness.KEY,
-            timeout_s=PATIENCE_S,
+            timeout_s=CALL_TIMEOUT_S,
             received_at=self.clock.monotonic(),
         )
         return await self.forwarder.forward(inbound)
 
     async def call(self, number, path):
-        """Sends one call; returns its failure, or None for an answer."""
+        """Sends one call; returns its error, or None if it gets a response."""
         try:
             response = await self.send(number, path)
             if response.chunks is not None:
@@ -136,7 +140,7 @@
         return None
 
     async def run_sample(self, number):
-        """Runs one sample; whether its text is whole."""
+        """Runs one sample; returns whether its text is complete."""
         item = batches.Item(
             f"i{number}", "/x", {}, b"?", 300, "g", None, length_hint=200
         )
@@ -150,17 +154,17 @@
         )
 
 
-def before(kind, use):
-    """Runs an async function with an endless server."""
+def run_with_server(kind, check):
+    """Runs an async function with an endless server of a kind."""
 
     async def main():
         with trio.fail_after(GUARD_S):
             async with trio.open_nursery() as nursery:
                 server = endlessserver.Server(kind)
                 await nursery.start(server.serve)
-                world = World(server)
-                await use(server, world)
-                await world.http_client.aclose()
+                setup = Setup(server)
+                await check(server, setup)
+                await setup.http_client.aclose()
                 nursery.cancel_scope.cancel()
 
     with mock.patch.object(generation, "HEADER_TIMEOUT_S", HEAD_S):
@@ -178,42 +182,42 @@
             )
         ]
     )
-    def test_call_ends_in_time_with_a_true_word(self, _, kind, path):
-        async def use(server, world):
-            began_at = trio.current_time()
-            failure = await world.call(1, path)
-            elapsed_s = trio.current_time() - began_at
-            self.assertLess(elapsed_s, PATIENCE_S + SLACK_S)
-            if isinstance(failure, errors.ServiceError):
-                # It was sent, so nobody may say that it has not run.
-                self.assertIn(failure.code.status, (502, 504))
+    def test_call_ends_in_time_with_a_truthful_status(self, _, kind, path):
+        async def check(server, setup):
+            started_at = trio.current_time()
+            error = await setup.call(1, path)
+            elapsed_s = trio.current_time() - started_at
+            self.assertLess(elapsed_s, CALL_TIMEOUT_S + SLACK_S)
+            if isinstance(error, errors.ServiceError):
+                # It was sent, so the error must not say that it has not run.
+                self.assertIn(error.code.status, (502, 504))
             if kind in ("behind_an_answer", "copies_of_an_answer"):
-                self.assertIsNone(failure)
+                self.assertIsNone(error)
             else:
-                self.assertIsNotNone(failure)
-            # Whatever comes next is not taken from the same connection.
-            world.server_registry.servers["plain"].record_success()
-            await world.call(2, path)
+                self.assertIsNotNone(error)
+            # The next call must not read from the same connection.
+            setup.server_registry.servers["plain"].record_success()
+            await setup.call(2, path)
             await trio.sleep(0.05)
-            await world.http_client.aclose()
+            await setup.http_client.aclose()
             self.assertGreaterEqual(server.connections, 2)
             with trio.move_on_after(2):
                 while server.closed < server.connections:
                     await trio.sleep(0.02)
             self.assertEqual(server.closed, server.connections)
 
-        before(kind, use)
+        run_with_server(kind, check)
 
     @parameterized.parameterized.expand([(kind,) for kind in KINDS])
     def test_sample_ends_in_time(self, kind):
-        async def use(server, world):
+        async def check(server, setup):
             with trio.fail_after(HEAD_S + SLACK_S):
-                is_whole = await world.run_sample(1)
+                is_whole = await setup.run_sample(1)
             self.assertFalse(is_whole)
-            engine = world.server_registry.servers["engines"]
+            engine = setup.server_registry.servers["engines"]
             self.assertGreater(engine.failures, 0)
 
-        before(kind, use)
+        run_with_server(kind, check)
 
     @parameterized.parameterized.expand(
         [
@@ -222,43 +226,46 @@
             for name, is_sample in (("calls", False), ("samples", True))
         ]
     )
-    def test_memory_of_many_at_a_time(self, _, kind, is_sample):
-        async def use(server, world):
-            async def one(number):
+    def test_memory_of_many_concurrent_requests(self, _, kind, is_sample):
+        async def check(server, setup):
+            async def send_one(number):
                 if is_sample:
-                    await world.run_sample(number)
+                    await setup.run_sample(number)
                 else:
-                    await world.call(number, "/once/")
+                    await setup.call(number, "/once/")
 
             tracemalloc.start()
             try:
-                began, _ = tracemalloc.get_traced_memory()
+                baseline, _ = tracemalloc.get_traced_memory()
                 async with trio.open_nursery() as nursery:
                     for number in range(CALLS_AT_ONCE):
-                        nursery.start_soon(one, number)
+                        nursery.start_soon(send_one, number)
                 _, peak = tracemalloc.get_traced_memory()
             finally:
                 tracemalloc.stop()
-            self.assertLess(peak - began, MEMORY_BYTES)
+            self.assertLess(peak - baseline, MEMORY_BYTES)
 
-        before(kind, use)
+        run_with_server(kind, check)
 
     @parameterized.parameterized.expand([(kind,) for kind in KINDS])
-    def test_report_and_order_end_in_time(self, kind):
-        async def use(server, world):
-            engine = world.server_registry.servers["engines"]
+    def test_status_and_order_end_in_time(self, kind):
+        async def check(server, setup):
+            engine = setup.server_registry.servers["engines"]
             order = serverclient.VersionOrder(harness.MODEL, 2, True, HOLDER, 0)
             with trio.fail_after(2 * servers.ORDER_TIMEOUT_S + SLACK_S):
                 with self.assertRaises(serverclient.ServerError):
-                    await world.client.fetch_engine_status(engine)
+                    await setup.client.fetch_engine_status(engine)
                 with self.assertRaises(serverclient.ServerError):
-                    await world.client.order(engine, order)
+                    await setup.client.order(engine, order)
+
+        run_with_server(kind, check)
 
-        before(kind, use)
 
+class RepeatedResponseTest(unittest.TestCase):
+    """A server repeats its last response on a reused connection.
 
-class LateCopyTest(unittest.TestCase):
-    """A server sends its last answer once more, on a channel in use again."""
+    The node must not take the copy for the response to the next request.
+    """
 
     @parameterized.parameterized.expand(
         [
@@ -266,30 +273,32 @@
             ("once_only", "/once/", False),
         ]
     )
-    def test_next_caller_gets_no_answer_of_another(self, _, path, may_repeat):
+    def test_next_call_does_not_get_the_previous_response(
+        self, _, path, may_repeat
+    ):
         async def main():
             server = endlessserver.DuplicatingServer()
             async with trio.open_nursery() as nursery:
                 await nursery.start(server.serve)
-                world = World(server)
-                first = await world.send(1, path)
+                setup = Setup(server)
+                first = await setup.send(1, path)
                 self.assertEqual(first.body, b"answer to r1")
-                world.server_registry.servers["plain"].record_success()
+                setup.server_registry.servers["plain"].record_success()
                 if may_repeat:
-                    second = await world.send(2, path)
+                    second = await setup.send(2, path)
                     self.assertEqual(second.body, b"answer to r2")
                 else:
                     with self.assertRaises(errors.ServiceError) as caught:
-                        await world.send(2, path)
+                        await setup.send(2, path)
                     self.assertEqual(caught.exception.code.status, 502)
                 self.assertEqual(server.duplicates, 1)
-                await world.http_client.aclose()
+                await setup.http_client.aclose()
                 nursery.cancel_scope.cancel()
 
         trio.run(main)
 
 
 class NamesTest(unittest.TestCase):
-    def test_stand_in_speaks_of_the_wire_as_the_product_does(self):
+    def test_test_server_uses_the_header_names_of_the_platform(self):
         for name in (names.REQUEST_ID, names.SIGNATURE, names.WEIGHT_VERSION):
             self.assertIn(name.encode(), endlessserver.SIGNED.lower())
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -1,4 +1,8 @@
-"""Servers whose answers say that they leave, while their entries do not."""
+"""Servers that announce their shutdown in responses before their entries do.
+
+A node that sends them new requests until the entry changes has these requests
+cut off by the shutdown.
+"""
 
 import contextlib
 import unittest
@@ -74,23 +78,25 @@
         ]
     )
     @virtual.on_virtual_time
-    async def test_nothing_new_reaches_it(self, _, leaving, use, status):
+    async def test_leaving_server_gets_no_new_requests(
+        self, _, leaving, send, status
+    ):
         async with harness.launch(nodes=1) as site:
             server = site.servers[leaving[1]]
             server.is_leaving = True
             server.is_full = status == 503
             server.statuses = [status]
-            roster = site.nodes[0].runtime.server_registry.servers
-            await use(site)
-            self.assertTrue(roster[server.id].is_leaving)
-            begun, orders = len(server.started_runs), server.orders
-            self.assertLessEqual(begun, server.slots)
+            servers = site.nodes[0].runtime.server_registry.servers
+            await send(site)
+            self.assertTrue(servers[server.id].is_leaving)
+            started, orders = len(server.started_runs), server.orders
+            self.assertLessEqual(started, server.slots)
             site.set_target_version(3)
             for number in range(8):
                 await _send(site, harness.CALL_PATH + "1", f"r{number}")
             await site.submit(site.nodes[0], "b9")
             await site.read_all(site.nodes[0], "b9", seconds=5)
-            self.assertEqual(len(server.started_runs), begun)
+            self.assertEqual(len(server.started_runs), started)
             self.assertEqual(server.orders, orders)
 
     @parameterized.parameterized.expand(
@@ -102,27 +108,29 @@
         ]
     )
     @virtual.on_virtual_time
-    async def test_until_it_starts_again(self, _, goes, is_leaving):
+    async def test_server_is_leaving_until_it_restarts(
+        self, _, is_removed, is_leaving
+    ):
         async with harness.launch(nodes=1) as site:
             server = site.servers["p2"]
             server.is_leaving = True
             await _call(site)
             server.is_leaving = False
-            if goes:
+            if is_removed:
                 site.store.remove(names.SERVERS_PREFIX + server.id)
                 await trio.sleep(1)
-                roster = site.nodes[0].runtime.server_registry.servers
-                self.assertNotIn(server.id, roster)
+                servers = site.nodes[0].runtime.server_registry.servers
+                self.assertNotIn(server.id, servers)
             if not is_leaving:
                 server.born += 1
             server.register()
             await trio.sleep(1)
-            begun = len(server.started_runs)
+            started = len(server.started_runs)
             await _call(site)
-            self.assertEqual(len(server.started_runs) == begun, is_leaving)
+            self.assertEqual(len(server.started_runs) == started, is_leaving)
 
     @virtual.on_virtual_time
-    async def test_another_server_at_the_address_says_it_of_itself(self):
+    async def test_notice_of_another_server_at_the_address_is_ignored(self):
         async with harness.launch(nodes=1) as site:
             server = site.servers["p2"]
 
@@ -137,7 +145,7 @@
             self.assertFalse(known.is_usable(site.clock.monotonic()))
 
     @virtual.on_virtual_time
-    async def test_late_copy_of_an_answer_settles_no_order(self):
+    async def test_late_copy_of_a_response_settles_no_order(self):
         async with harness.launch(nodes=1) as site:
             node = site.nodes[0].runtime
             server = site.servers["e1"]
@@ -155,8 +163,8 @@
             self.assertTrue(caught.exception.may_have_run)
 
     @virtual.on_virtual_time
-    async def test_each_node_stops_by_its_own_answers(self):
-        """Each of several nodes sends at most what it has under way."""
+    async def test_each_node_stops_by_its_own_responses(self):
+        """Each node sends at most one request, whose response tells it."""
         async with harness.launch(nodes=6) as site:
             server = site.servers["p2"]
             server.is_leaving = True
--- a/tests/test_web_connections.py
+++ b/tests/test_web_connections.py
@@ -1,4 +1,4 @@
-"""Which connections a listener closes, and which it must not."""
+"""Which connections the HTTP server closes, and which it must keep open."""
 
 import contextlib
 import random
@@ -16,7 +16,7 @@
 HEADER_S = 1.0
 REQUEST = b"GET /%d HTTP/1.1\r\nhost: a\r\n\r\n"
 
-BEGINNING = b"GET /2 HT"
+PARTIAL_REQUEST = b"GET /2 HT"
 
 
 async def _answer(request):
@@ -25,7 +25,7 @@
 
 @contextlib.asynccontextmanager
 async def _connected(get_limits):
-    """Yields a connection to a listener."""
+    """Yields a connection to a running server."""
     stop = trio.Event()
     async with trio.open_nursery() as nursery:
         address = await nursery.start(
@@ -49,7 +49,11 @@
 
 
 class IdleTest(unittest.TestCase):
-    """Connections that a caller keeps, or is slow on."""
+    """Timeouts of idle connections and of slow headers.
+
+    A request whose first bytes arrive just before the idle timeout must be
+    answered, although the timeout passes while it is read.
+    """
 
     @parameterized.parameterized.expand(
         [
@@ -57,16 +61,16 @@
             ("idle_too_long", [(0.0, REQUEST % 1)], 3 * IDLE_S, False),
             ("never_used", [], 3 * IDLE_S, False),
             (
-                # Read while the time-out passes: answered all the same.
-                "begun_in_time",
-                [(0.0, REQUEST % 1), (0.8 * IDLE_S, BEGINNING)],
+                # The idle timeout passes while the headers are read.
+                "started_in_time",
+                [(0.0, REQUEST % 1), (0.8 * IDLE_S, PARTIAL_REQUEST)],
                 0.8 * HEADER_S,
                 True,
             ),
-            ("slow_head", [(0.0, BEGINNING)], 2 * HEADER_S, False),
+            ("slow_head", [(0.0, PARTIAL_REQUEST)], 2 * HEADER_S, False),
         ]
     )
-    def test_connection_is_kept(self, _, parts, pause_s, is_kept):
+    def test_connection_is_kept_open(self, _, parts, pause_s, is_kept):
         allowed = limits.Limits(idle_s=IDLE_S, header_timeout_s=HEADER_S)
 
         async def main():
@@ -77,9 +81,9 @@
                     if part.endswith(b"\r\n\r\n"):
                         await _read_answer(stream)
                 await trio.sleep(pause_s)
-                is_begun = parts and len(parts[-1][1]) == len(BEGINNING)
-                rest = (REQUEST % 2)[len(BEGINNING) :]
-                if not is_begun:
+                is_started = parts and len(parts[-1][1]) == len(PARTIAL_REQUEST)
+                rest = (REQUEST % 2)[len(PARTIAL_REQUEST) :]
+                if not is_started:
                     rest = REQUEST % 2
                 with contextlib.suppress(OSError, trio.BrokenResourceError):
                     await stream.send_all(rest)
@@ -91,7 +95,7 @@
 
         trio.run(main)
 
-    def test_limits_in_force_hold_for_open_connections(self):
+    def test_new_limits_apply_to_open_connections(self):
         allowed = limits.Limits(body_bytes=10)
 
         async def main():
@@ -110,7 +114,11 @@
 
 
 class StopTest(unittest.TestCase):
-    """A planned stop, with requests on the way on open connections."""
+    """A planned shutdown while requests arrive on open connections.
+
+    A server that closes a connection on which it is reading a request loses a
+    request that its handler may have started.
+    """
 
     @parameterized.parameterized.expand(
         [
@@ -119,18 +127,18 @@
             for seed in range(3)
         ]
     )
-    def test_every_request_that_was_read_is_answered(
+    def test_every_read_request_is_answered_on_shutdown(
         self, _, seed, is_used, least
     ):
         rng = random.Random(seed)
-        begun, answered = set(), set()
+        started, answered = set(), set()
 
         async def handle(request):
-            begun.add(request.path)
+            started.add(request.path)
             await trio.sleep(0.1)
             return message.Response(200, {}, b"whole")
 
-        async def ask(stream, path):
+        async def send_request(stream, path):
             try:
                 await stream.send_all(
                     b"GET %s HTTP/1.1\r\nhost: a\r\n\r\n" % path.encode()
@@ -145,10 +153,10 @@
             except (OSError, trio.BrokenResourceError):
                 return
 
-        async def ask_around_the_stop(stream, number):
-            # Some are read before the stop, some cross it.
+        async def send_around_shutdown(stream, number):
+            # Some requests are read before the shutdown, some arrive after.
             await trio.sleep(rng.uniform(0.0, 0.04))
-            await ask(stream, f"/{number}")
+            await send_request(stream, f"/{number}")
             await trio.aclose_forcefully(stream)
 
         async def main():
@@ -168,14 +176,16 @@
                 ]
                 if is_used:
                     for number, stream in enumerate(streams):
-                        nursery.start_soon(ask, stream, f"/first-{number}")
+                        nursery.start_soon(
+                            send_request, stream, f"/first-{number}"
+                        )
                     while len(answered) < len(streams):
                         await trio.sleep(0.01)
                 for number, stream in enumerate(streams):
-                    nursery.start_soon(ask_around_the_stop, stream, number)
+                    nursery.start_soon(send_around_shutdown, stream, number)
                 await trio.sleep(0.02)
                 stop.set()
 
         trio.run(main)
-        self.assertEqual(begun - answered, set())
+        self.assertEqual(started - answered, set())
         self.assertGreaterEqual(len(answered), least)
--- a/tests/test_web_pools.py
+++ b/tests/test_web_pools.py
@@ -1,4 +1,4 @@
-"""Connections to several addresses: which are kept, and which are closed."""
+"""The connection pools of the HTTP client."""
 
 import contextlib
 import unittest
@@ -17,12 +17,12 @@
     @parameterized.parameterized.expand(
         [
             ("used_again", 0.0, False, 1),
-            ("unused_for_long", 0.3, False, 0),
-            ("in_use_for_long", 0.3, True, 1),
+            ("idle", 0.3, False, 0),
+            ("in_use", 0.3, True, 1),
         ]
     )
     def test_pools_of_addresses(self, _, pause_s, is_open, pools_left):
-        """Another address's requests close only pools that nobody uses."""
+        """Requests to another address close only pools that are idle."""
 
         async def main():
             http_client = httpclient.PooledHttpClient(idle_s=0.1)
@@ -64,37 +64,37 @@
         trio.run(main)
 
     @servers.on_sockets
-    async def test_connection_is_used_again(self, address, handler, stop):
+    async def test_connection_is_reused(self, address, handler, stop):
         http_client = httpclient.PooledHttpClient()
         for _ in range(3):
             await httpclient.fetch(
                 http_client, address, message.Request("GET", "/"), 5
             )
-        (kept,) = http_client.pools.values()
-        self.assertEqual(len(kept.pool.connections), 1)
+        (address_pool,) = http_client.pools.values()
+        self.assertEqual(len(address_pool.pool.connections), 1)
         await http_client.aclose()
 
     @servers.on_sockets
-    async def test_guarded_requests_leave_room_for_others(
+    async def test_blocked_requests_release_their_connections(
         self, address, handler, stop
     ):
-        def refuse():
+        def block():
             raise errors.ServiceError(errors.ResultCode.LEASE_LOST)
 
         async def send(before_send):
             request = message.Request("GET", "/", before_send=before_send)
             with contextlib.suppress(errors.ServiceError):
                 await httpclient.fetch(http_client, address, request, 5)
-                answered.append(before_send)
+                sent.append(before_send)
 
         http_client = httpclient.PooledHttpClient(max_connections=2)
-        answered = []
+        sent = []
         async with trio.open_nursery() as nursery:
             for _ in range(10):
-                nursery.start_soon(send, refuse)
+                nursery.start_soon(send, block)
                 nursery.start_soon(send, message.allow_send)
         await send(message.allow_send)
-        self.assertEqual(answered, [message.allow_send] * 11)
-        (kept,) = http_client.pools.values()
-        self.assertLessEqual(len(kept.pool.connections), 2)
+        self.assertEqual(sent, [message.allow_send] * 11)
+        (address_pool,) = http_client.pools.values()
+        self.assertLessEqual(len(address_pool.pool.connections), 2)
         await http_client.aclose()
--- a/tests/test_web_server.py
+++ b/tests/test_web_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server on real sockets: bad input, disconnects, planned stops."""
+"""HTTP server and client on real sockets: bad input, disconnects, shutdown."""
 
 import functools
 import unittest
@@ -22,7 +22,7 @@
 
 
 class Handler:
-    """Answers with what it got, after a wait that may be cancelled."""
+    """Responds with the body's size, late, in chunks or with an error."""
 
     def __init__(self) -> None:
         self.started = trio.Event()
@@ -118,7 +118,7 @@
             ),
         ]
     )
-    def test_bad_input_gets_a_numbered_error(self, _, data, code):
+    def test_bad_input_gets_an_error_with_a_code(self, _, data, code):
         @on_sockets
         async def check(self, address, handler, stop):
             stream = await _send_raw(address, data)
@@ -132,7 +132,7 @@
         check(self)
 
     @on_sockets
-    async def test_endless_head_is_refused(self, address, handler, stop):
+    async def test_endless_headers_are_rejected(self, address, handler, stop):
         head = b"GET / HTTP/1.1\r\nhost: a\r\nx: " + b"y" * 50000
         stream = await _send_raw(address, head)
         answer = await stream.receive_some()
@@ -140,7 +140,7 @@
         await stream.aclose()
 
     @on_sockets
-    async def test_disconnect_cancels_the_work(self, address, handler, stop):
+    async def test_disconnect_cancels_the_handler(self, address, handler, stop):
         stream = await _send_raw(
             address, b"GET /slow HTTP/1.1\r\nhost: a\r\n\r\n"
         )
@@ -149,7 +149,7 @@
         await handler.cancelled.wait()
 
     @on_sockets
-    async def test_stop_ends_a_stream_in_order(self, address, handler, stop):
+    async def test_shutdown_completes_a_stream(self, address, handler, stop):
         http_client = httpclient.PooledHttpClient()
         request = message.Request("GET", "/stream")
         async with http_client.open(address, request, 5) as response:
@@ -158,7 +158,7 @@
             self.assertEqual(await response.read(), b"01234")
         await http_client.aclose()
 
-    def test_stop_does_not_wait_for_idle_connections(self):
+    def test_shutdown_does_not_wait_for_idle_connections(self):
         async def main():
             http_client = httpclient.PooledHttpClient()
             async with trio.open_nursery() as nursery:
@@ -172,15 +172,15 @@
                 stop.set()
 
         async def guarded():
-            # Well under the 60 s that open requests would be given.
+            # Well under the 60 s graceful timeout of open requests.
             with trio.fail_after(GUARD_S):
                 await main()
 
         trio.run(guarded)
 
 
-class ExchangeTest(unittest.TestCase):
-    def test_refused_connection_says_nothing_left(self):
+class HttpClientTest(unittest.TestCase):
+    def test_refused_connection_means_not_sent(self):
         async def main():
             http_client = httpclient.PooledHttpClient()
             with self.assertRaises(httpclient.RequestError) as caught:
@@ -191,7 +191,7 @@
 
         trio.run(main)
 
-    def test_abandoned_request_is_withdrawn_from_the_network(self):
+    def test_aborted_request_resets_its_connection(self):
         async def main():
             (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
             host, port = listener.socket.getsockname()
@@ -202,7 +202,7 @@
                     http_client, f"{host}:{port}", request, 0.2
                 )
             stream = await listener.accept()
-            # A reset, not an orderly end: what is held up is not sent later.
+            # The connection is reset, so that delayed bytes are not sent later.
             with self.assertRaises(trio.BrokenResourceError):
                 await _read_all(stream)
             await stream.aclose()
@@ -211,14 +211,12 @@
         trio.run(main)
 
     @on_sockets
-    async def test_guard_keeps_a_request_from_leaving(
-        self, address, handler, stop
-    ):
-        def refuse():
+    async def test_before_send_blocks_a_request(self, address, handler, stop):
+        def block():
             raise errors.ServiceError(errors.ResultCode.LEASE_LOST)
 
         http_client = httpclient.PooledHttpClient()
-        request = message.Request("GET", "/slow", before_send=refuse)
+        request = message.Request("GET", "/slow", before_send=block)
         with self.assertRaises(errors.ServiceError):
             await httpclient.fetch(http_client, address, request, 5)
         self.assertFalse(handler.started.is_set())
@@ -227,7 +225,7 @@
 
 class ConnectionTest(unittest.TestCase):
     @on_sockets
-    async def test_clients_that_break_the_protocol_harm_no_others(
+    async def test_protocol_errors_do_not_affect_other_clients(
         self, address, handler, stop
     ):
         good = (
@@ -238,7 +236,7 @@
             b"transfer-encoding: chunked\r\n\r\nzz\r\n"
         )
 
-        async def break_it(parts, pause_s):
+        async def send_invalid(parts, pause_s):
             try:
                 stream = await _send_raw(address, parts[0])
                 for part in parts[1:]:
@@ -253,7 +251,7 @@
             for number in range(40):
                 parts = ([bad], [good, bad], [good, good, bad], [bad, bad])
                 pause_s = 0.002 * (number % 5)
-                nursery.start_soon(break_it, parts[number % 4], pause_s)
+                nursery.start_soon(send_invalid, parts[number % 4], pause_s)
         await trio.sleep(0.5)
         stream = await _send_raw(
             address,
@@ -267,14 +265,14 @@
             ("group", ExceptionGroup("", [trio.BusyResourceError("sending")])),
         ]
     )
-    def test_connection_that_ends_with_an_error_ends_alone(self, _, error):
-        whole = tcp_server.TCPServer.run
+    def test_connection_error_closes_only_that_connection(self, _, error):
+        original_run = tcp_server.TCPServer.run
         errors_left = [error]
 
         async def run(connection):
             if errors_left:
                 raise errors_left.pop()
-            await whole(connection)
+            await original_run(connection)
 
         @on_sockets
         async def check(_, address, handler, stop):
