--- a/src/kingcupscale/batches/cache.py
+++ b/src/kingcupscale/batches/cache.py
@@ -199,7 +199,7 @@
             self.on_change()
 
     def _remove(self, batch_id: str) -> None:
-        """Forgets a batch that has been removed from the store."""
+        """Drops a batch that has been removed from the store."""
         self.summaries.pop(batch_id, None)
         self.last_read_at.pop(batch_id, None)
         self.load_candidates.discard(batch_id)
@@ -463,6 +463,8 @@
         Raises:
             StoreError: If the write failed or got no answer. If it was executed
                 nevertheless, the mirror delivers the results later.
+            ServiceError: ``STORE_UNAVAILABLE`` if another node had written and
+                a record could not be refreshed.
         """
         puts = []
         for record, chunk in additions:
