--- a/src/kingcupscale/batches/samplereplication.py
+++ b/src/kingcupscale/batches/samplereplication.py
@@ -10,7 +10,7 @@
 from kingcupscale import events
 from kingcupscale.batches import coordinator as coordinators
 from kingcupscale.peering import calls
-from kingcupscale.peering import handover
+from kingcupscale.peering import replication
 
 # A takeover loses at most the text that was generated within this time.
 REPLICATION_INTERVAL_S = 0.3
@@ -43,7 +43,7 @@
         self,
         coordinator: coordinators.Coordinator,
         model: str,
-        client: handover.CopyClient,
+        client: replication.ReplicationClient,
         clock: clocks.Clock,
         node: str,
         find_target: Callable[[], tuple[str, str] | None],
@@ -93,13 +93,16 @@
         return False
 
     async def _send_to(self, target: tuple[str, str], is_last: bool) -> bool:
-        """Sends new text and results to a node; returns False on failure."""
+        """Sends new text and results to a node; returns False on failure.
+
+        After a failure, all text and results are sent again.
+        """
         name, address = target
         if name != self.target:
             self.target = name
             self._reset_sent()
         texts = self._collect_updates()
-        request = handover.ReplicationRequest(
+        request = replication.ReplicationRequest(
             self.coordinator.service,
             texts,
             self.model,
@@ -110,7 +113,7 @@
             await self.client.send(address, request)
         except calls.PeerError as e:
             self._reset_sent()
-            if e.status != handover.STATUS_OUT_OF_SYNC:
+            if e.status != replication.STATUS_OUT_OF_SYNC:
                 self.note_failure(name)
             events.log(
                 events.Event.COPY_FAILED,
@@ -128,10 +131,12 @@
         return True
 
     def _reset_sent(self) -> None:
+        """Assumes that the target has nothing yet."""
         self.sent = {}
         self.sent_results = set()
 
-    def _collect_updates(self) -> list[handover.TextUpdate]:
+    def _collect_updates(self) -> list[replication.TextUpdate]:
+        """Returns what the target lacks, at most ``MAX_TEXTS`` samples."""
         texts = []
         open_item_ids = set()
         for sample in self.coordinator.unsaved_samples(self.model):
@@ -139,16 +144,18 @@
             sent = self.sent.get(sample.id, 0)
             if sent > len(sample.events):
                 sent = 0
-            added = sample.events[sent:]
-            is_new = sample.result and sample.id not in self.sent_results
-            if added or is_new:
+            new_events = sample.events[sent:]
+            has_new_result = (
+                sample.result and sample.id not in self.sent_results
+            )
+            if new_events or has_new_result:
                 texts.append(
-                    handover.TextUpdate(
+                    replication.TextUpdate(
                         sample.id,
-                        added,
+                        new_events,
                         sample.result,
                         sample.record.batch.id,
-                        handover.digest(sample.events[:sent]),
+                        replication.digest(sample.events[:sent]),
                     )
                 )
                 self.sent[sample.id] = sent
