--- a/src/kingcupscale/peering/counts.py
+++ b/src/kingcupscale/peering/counts.py
@@ -22,8 +22,9 @@
 
     Attributes:
         node: Name of the node.
-        windows: By window number (as text), the number of requests by
-            organisation. Each count is the window's total so far.
+        windows: By window number (as text), the number of requests that began
+            in the window, by organisation. Each count is the window's total so
+            far.
     """
 
     node: str
--- a/src/kingcupscale/storage/locks.py
+++ b/src/kingcupscale/storage/locks.py
@@ -448,8 +448,8 @@
 async def _wait_for_turn(duty_lock: DutyLock, rank: Callable[[], int]) -> None:
     """Waits so that preferred candidates can acquire a free duty first.
 
-    The rank is read again at each change: a candidate that acquires another
-    duty meanwhile moves behind those without one.
+    The rank is read again at each change: in a large fleet, a candidate that
+    acquires another duty meanwhile moves behind those without one.
     """
     began_at = duty_lock.clock.monotonic()
     while duty_lock.key not in duty_lock.mirror.entries:
