--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -183,23 +183,23 @@
     Break(
         "usage counts are whole",
         "usage/windows.py",
-        "            self.shared[window] = counts\n"
-        "            self.shared_with[window] = IN_STORE\n",
-        "            self.shared[window] = self.counts[window]\n"
-        "            self.shared_with[window] = IN_STORE\n",
+        "            self.flushed[window] = counts\n"
+        "            self.flushed_to[window] = IN_STORE\n",
+        "            self.flushed[window] = self.counts[window]\n"
+        "            self.flushed_to[window] = IN_STORE\n",
         "tests.test_windows",
     ),
     Break(
         "counts reach the next node that reports",
         "usage/windows.py",
-        "is_whole and self.shared_with[window] in (IN_STORE, holder)",
+        "is_whole and self.flushed_to[window] in (IN_STORE, holder)",
         "is_whole",
         "tests.test_windows",
     ),
     Break(
         "who begins to report waits for what others told before",
         "usage/windows.py",
-        "return now - self.gained_at >= RESEND_S",
+        "return now - self.acquired_at >= RESEND_WAIT_S",
         "return True",
         "tests.test_windows",
     ),
@@ -270,7 +270,7 @@
     Break(
         "a window that was taken is not reported again",
         "usage/windows.py",
-        "        self.taken.add(window)\n"
+        "        self.reported.add(window)\n"
         "        events.log(\n"
         "            events.Event.USAGE_REPORTED",
         "        events.log(\n            events.Event.USAGE_REPORTED",
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -35,7 +35,7 @@
 from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
 from kingcupscale.storage import view as views
-from kingcupscale.usage import telling
+from kingcupscale.usage import countsender
 from kingcupscale.usage import windows
 from kingcupscale.web import limits
 from kingcupscale.web import message
@@ -172,13 +172,15 @@
             settings.bounds.window_s,
             settings.bounds.late_s,
         )
-        self.telling = telling.Telling(self.peers, self.reporter, deps.counts)
+        self.count_sender = countsender.PeerCountSender(
+            self.peers, self.reporter, deps.counts
+        )
         self.usage = windows.WindowCounter(
             self.mirror,
             self.clock,
             settings.node,
             settings.bounds.window_s,
-            self.telling,
+            self.count_sender,
         )
         admission = admissions.Admission(
             self.current_catalogue, self.readiness.staleness_error
@@ -213,7 +215,7 @@
         if request.path == replication.PATH:
             return self._apply_copy(replication.decode(request.body))
         if request.path == counts.PATH:
-            return self.telling.answer(request)
+            return self.count_sender.handle(request)
         if request.path == weightloads.PATH:
             self.apply_load_state(weightloads.decode(request.body))
             return message.Response(200)
@@ -383,7 +385,7 @@
         await self.registration.close()
         with trio.move_on_after(1.0):
             try:
-                await self.usage.share(is_last=True)
+                await self.usage.flush(is_last=True)
             except stores.StoreError as e:
                 events.log(events.Event.STORE_FAILED, reason=e.reason)
         await self.clock.sleep(DRAIN_NOTICE_S)
@@ -426,7 +428,7 @@
         while True:
             await self.clock.rest(USAGE_INTERVAL_S)
             try:
-                await self.usage.share()
+                await self.usage.flush()
             except stores.StoreError as e:
                 events.log(
                     events.Event.STORE_FAILED,
--- a/src/kingcupscale/usage/telling.py
+++ b/src/kingcupscale/usage/countsender.py
@@ -8,8 +8,8 @@
 from kingcupscale.web import message
 
 
-class Telling:
-    """A ``Teller`` that asks who holds the duty of reporting.
+class PeerCountSender:
+    """A ``CountSender`` that asks who holds the duty of reporting.
 
     Args:
         others: The other nodes, and who holds a duty.
@@ -31,7 +31,7 @@
         """Returns who reports, told apart by lease; empty for nobody."""
         return self.peers.holder_and_lease(windows.DUTY)
 
-    async def tell(self, counted: dict[int, dict[str, int]]) -> bool:
+    async def send(self, counted: dict[int, dict[str, int]]) -> bool:
         """Tells whole counts by window; whether they were taken."""
         name = self.peers.holder(windows.DUTY)
         if name == self.peers.node:
@@ -48,7 +48,7 @@
             return False
         return True
 
-    def answer(self, request: message.Request) -> message.Response:
+    def handle(self, request: message.Request) -> message.Response:
         """Takes over what another node tells, if this one reports."""
         told = counts.decode(request.body)
         counted = {int(window): found for window, found in told.windows.items()}
@@ -58,5 +58,5 @@
     def _take(self, node: str, counted: dict[int, dict[str, int]]) -> bool:
         if not self.reporter.duty_lock.is_held():
             return False
-        self.reporter.take(node, counted)
+        self.reporter.receive(node, counted)
         return True
--- a/src/kingcupscale/usage/windows.py
+++ b/src/kingcupscale/usage/windows.py
@@ -21,10 +21,10 @@
 COUNT_DELAY_S = 1.0
 # Share of the time until a report is late after which it is put together,
 # whoever's counts are missing.
-COLLECT_SHARE = 0.4
+COLLECT_FRACTION = 0.4
 # A node that begins to report waits so long for what the others told the one
 # before it.
-RESEND_S = 2.0
+RESEND_WAIT_S = 2.0
 # Stands for the store where it is noted who was told.
 IN_STORE = "store"
 # Windows that are kept in the store and looked after, the newest ones.
@@ -59,14 +59,14 @@
         ...
 
 
-class Teller(Protocol):
+class CountSender(Protocol):
     """Tells the node that reports usage what this one has counted."""
 
     def holder(self) -> str:
         """Returns who reports, told apart by lease; empty for nobody."""
         ...
 
-    async def tell(self, counted: dict[int, dict[str, int]]) -> bool:
+    async def send(self, counted: dict[int, dict[str, int]]) -> bool:
         """Tells whole counts by window; whether they were taken."""
         ...
 
@@ -82,12 +82,12 @@
         clock: Tells the time.
         node: The node's name.
         window_s: Length of a window in seconds.
-        teller: Tells the node that reports.
+        count_sender: Tells the node that reports.
 
     Attributes:
         counts: Requests by organisation, by window.
-        shared: What has been shared, by window.
-        shared_with: Whom it was told, by window; ``IN_STORE`` for the store.
+        flushed: What has been shared, by window.
+        flushed_to: Whom it was told, by window; ``IN_STORE`` for the store.
     """
 
     def __init__(
@@ -96,16 +96,16 @@
         clock: clocks.Clock,
         node: str,
         window_s: float,
-        teller: Teller,
+        count_sender: CountSender,
     ) -> None:
         self.mirror = mirror
         self.clock = clock
         self.node = node
         self.window_s = window_s
-        self.teller = teller
+        self.count_sender = count_sender
         self.counts: dict[int, dict[str, int]] = {}
-        self.shared: dict[int, dict[str, int]] = {}
-        self.shared_with: dict[int, str] = {}
+        self.flushed: dict[int, dict[str, int]] = {}
+        self.flushed_to: dict[int, str] = {}
 
     def window_at(self, seconds: float) -> int:
         """Returns the window of a time in seconds since 1970."""
@@ -117,7 +117,7 @@
         counts = self.counts.setdefault(window, {})
         counts[organisation] = counts.get(organisation, 0) + 1
 
-    async def share(self, is_last: bool = False) -> None:
+    async def flush(self, is_last: bool = False) -> None:
         """Shares the counts of ended windows, or of all at the last.
 
         What is shared is always a window's whole count, so that it does no
@@ -128,30 +128,30 @@
         """
         now_s = self.clock.now().timestamp()
         ended = self.window_at(now_s - COUNT_DELAY_S)
-        holder = "" if is_last else self.teller.holder()
+        holder = "" if is_last else self.count_sender.holder()
         due = {
             window: dict(self.counts[window])
             for window in sorted(self.counts)
             if (is_last or window < ended)
-            and not self._is_shared(window, holder)
+            and not self._is_flushed(window, holder)
         }
-        if due and not (holder and await self._tell(due, holder)):
+        if due and not (holder and await self._send(due, holder)):
             await self._write(due)
         for window in [w for w in self.counts if w < ended - WINDOWS_KEPT]:
             del self.counts[window]
-            self.shared.pop(window, None)
-            self.shared_with.pop(window, None)
+            self.flushed.pop(window, None)
+            self.flushed_to.pop(window, None)
 
-    def _is_shared(self, window: int, holder: str) -> bool:
-        is_whole = self.shared.get(window) == self.counts[window]
-        return is_whole and self.shared_with[window] in (IN_STORE, holder)
+    def _is_flushed(self, window: int, holder: str) -> bool:
+        is_whole = self.flushed.get(window) == self.counts[window]
+        return is_whole and self.flushed_to[window] in (IN_STORE, holder)
 
-    async def _tell(self, due: dict[int, dict[str, int]], holder: str) -> bool:
-        if not await self.teller.tell(due):
+    async def _send(self, due: dict[int, dict[str, int]], holder: str) -> bool:
+        if not await self.count_sender.send(due):
             return False
         for window, counts in due.items():
-            self.shared[window] = counts
-            self.shared_with[window] = holder
+            self.flushed[window] = counts
+            self.flushed_to[window] = holder
         return True
 
     async def _write(self, due: dict[int, dict[str, int]]) -> None:
@@ -159,8 +159,8 @@
             key = f"{COUNTS_PREFIX}{window}/{self.node}"
             put = stores.Put(key, orjson.dumps(counts))
             await self.mirror.store.commit(stores.Transaction(puts=[put]))
-            self.shared[window] = counts
-            self.shared_with[window] = IN_STORE
+            self.flushed[window] = counts
+            self.flushed_to[window] = IN_STORE
 
 
 class WindowReporter:
@@ -193,24 +193,24 @@
         self.clock = clock
         self.window_s = window_s
         self.late_s = late_s
-        self.taken: set[int] = set()
-        self.first: int | None = None
+        self.reported: set[int] = set()
+        self.first_window: int | None = None
         self.received: dict[int, dict[str, dict[str, int]]] = {}
-        self.fence = 0
-        self.gained_at = 0.0
+        self.fencing_token = 0
+        self.acquired_at = 0.0
 
-    def take(self, node: str, counted: dict[int, dict[str, int]]) -> None:
+    def receive(self, node: str, counted: dict[int, dict[str, int]]) -> None:
         """Takes over a node's whole counts by window."""
         for window, counts in counted.items():
             self.received.setdefault(window, {})[node] = counts
 
-    def _has_heard_all(self) -> bool:
+    def _has_waited_for_counts(self) -> bool:
         """Tells whether the others had the time to tell this node."""
         now = self.clock.monotonic()
-        if self.fence != self.duty_lock.fencing_token:
-            self.fence = self.duty_lock.fencing_token
-            self.gained_at = now
-        return now - self.gained_at >= RESEND_S
+        if self.fencing_token != self.duty_lock.fencing_token:
+            self.fencing_token = self.duty_lock.fencing_token
+            self.acquired_at = now
+        return now - self.acquired_at >= RESEND_WAIT_S
 
     async def step(self) -> None:
         """Reports the windows that are due.
@@ -218,17 +218,19 @@
         Raises:
             StoreError: If the store cannot be reached.
         """
-        if not self._has_heard_all():
+        if not self._has_waited_for_counts():
             return
         now_s = self.clock.now().timestamp()
-        due = int((now_s - self.late_s * COLLECT_SHARE) // self.window_s) - 1
-        if self.first is None:
-            self.first = self._first_window(due)
-        for window in range(max(self.first, due - WINDOWS_KEPT), due + 1):
-            if window not in self.taken:
+        due = int((now_s - self.late_s * COLLECT_FRACTION) // self.window_s) - 1
+        if self.first_window is None:
+            self.first_window = self._first_window(due)
+        for window in range(
+            max(self.first_window, due - WINDOWS_KEPT), due + 1
+        ):
+            if window not in self.reported:
                 await self._report(window)
         oldest = due - 2 * WINDOWS_KEPT
-        self.taken = {w for w in self.taken if w > oldest}
+        self.reported = {w for w in self.reported if w > oldest}
         for window in [w for w in self.received if w <= oldest]:
             del self.received[window]
 
@@ -242,7 +244,7 @@
         return min([*windows, *self.received, due + 1])
 
     async def _report(self, window: int) -> None:
-        figures = await self._settle_figures(window)
+        figures = await self._commit_figures(window)
         if figures is None or not self.duty_lock.is_held():
             return
         try:
@@ -255,9 +257,9 @@
                 reason=e.reason,
             )
             if e.is_fenced:
-                self.taken.add(window)
+                self.reported.add(window)
             return
-        self.taken.add(window)
+        self.reported.add(window)
         events.log(
             events.Event.USAGE_REPORTED,
             window=window,
@@ -266,12 +268,12 @@
             requests=sum(figures.values()),
         )
 
-    async def _settle_figures(self, window: int) -> dict[str, int] | None:
+    async def _commit_figures(self, window: int) -> dict[str, int] | None:
         """Returns a window's figures, fixed in the store before they go."""
         key = f"{FIGURES_PREFIX}{window}"
         entry = self.mirror.entries.get(key)
         if entry is None:
-            figures = self._add_up(window)
+            figures = self._sum_counts(window)
             put = stores.Put(
                 key, orjson.dumps(figures, option=orjson.OPT_SORT_KEYS)
             )
@@ -288,7 +290,7 @@
             return None
         return orjson.loads(entry.value)
 
-    def _add_up(self, window: int) -> dict[str, int]:
+    def _sum_counts(self, window: int) -> dict[str, int]:
         """Returns the sum over all nodes, told or written."""
         prefix = f"{COUNTS_PREFIX}{window}/"
         by_node = dict(self.received.get(window, {}))
@@ -296,8 +298,8 @@
             counts = decoding.decode_entry(entry, _decode_counts) or {}
             node = entry.key.removeprefix(prefix)
             # Both are the node's whole count; the larger one is the later.
-            told = by_node.get(node, {})
-            by_node[node] = max(told, counts, key=lambda c: sum(c.values()))
+            received = by_node.get(node, {})
+            by_node[node] = max(received, counts, key=lambda c: sum(c.values()))
         totals: dict[str, int] = {}
         for counts in by_node.values():
             for organisation, number in counts.items():
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -28,7 +28,7 @@
             self.values[put.key] = orjson.loads(put.value)
 
 
-class Teller:
+class FakeCountSender:
     """Tells a reporter that may change, or nobody."""
 
     def __init__(self):
@@ -39,7 +39,7 @@
     def holder(self):
         return self.present
 
-    async def tell(self, counted):
+    async def send(self, counted):
         await trio.sleep(0.01)
         if self.is_reached:
             self.told.append((self.present, counted))
@@ -55,25 +55,25 @@
             virtualtime.VirtualClock(),
             "n1",
             5.0,
-            Teller(),
+            FakeCountSender(),
         )
         counter.count_started("one")
         await trio.sleep(6.1)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(counter.share)
-            nursery.start_soon(counter.share, True)
+            nursery.start_soon(counter.flush)
+            nursery.start_soon(counter.flush, True)
         counter.count_started("one")
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(counter.share, True)
+            nursery.start_soon(counter.flush, True)
             await trio.sleep(0.05)
             counter.count_started("one")
         await trio.sleep(6.1)
-        await counter.share()
+        await counter.flush()
         self.assertEqual(
             sorted(v["one"] for v in store.values.values()), [1, 2]
         )
         writes = store.writes
-        await counter.share()
+        await counter.flush()
         self.assertEqual(store.writes, writes)
 
     @parameterized.parameterized.expand(
@@ -90,41 +90,41 @@
     async def test_counts_reach_who_reports(
         self, _, first, second, is_reached, told, writes
     ):
-        store, teller = LaggingStore(), Teller()
+        store, count_sender = LaggingStore(), FakeCountSender()
         counter = windows.WindowCounter(
             types.SimpleNamespace(store=store),
             virtualtime.VirtualClock(),
             "n1",
             WINDOW_S,
-            teller,
+            count_sender,
         )
-        teller.is_reached = is_reached
+        count_sender.is_reached = is_reached
         counter.count_started("one")
         await trio.sleep(6.1)
         for holder in (first, first, second, second):
-            teller.present = holder
-            await counter.share()
-        self.assertEqual((len(teller.told), store.writes), (told, writes))
-        for _, counted in teller.told:
+            count_sender.present = holder
+            await counter.flush()
+        self.assertEqual((len(count_sender.told), store.writes), (told, writes))
+        for _, counted in count_sender.told:
             self.assertEqual(list(counted.values()), [{"one": 1}])
 
     @virtual.on_virtual_time
     async def test_last_counts_go_into_the_store(self):
         """Who reports may be the next to stop, and nobody tells it again."""
-        store, teller = LaggingStore(), Teller()
+        store, count_sender = LaggingStore(), FakeCountSender()
         counter = windows.WindowCounter(
             types.SimpleNamespace(store=store),
             virtualtime.VirtualClock(),
             "n1",
             WINDOW_S,
-            teller,
+            count_sender,
         )
-        teller.present = "n2 1"
+        count_sender.present = "n2 1"
         counter.count_started("one")
         await trio.sleep(6.1)
-        await counter.share()
+        await counter.flush()
         counter.count_started("one")
-        await counter.share(is_last=True)
+        await counter.flush(is_last=True)
         self.assertEqual([v["one"] for v in store.values.values()], [1, 1])
 
 
@@ -210,7 +210,7 @@
         for mirror, node in ((first, "n1"), (second, "n2")):
             reporter = self._make(mirror, intake, node)
             await reporter.step()
-            await trio.sleep(windows.RESEND_S)
+            await trio.sleep(windows.RESEND_WAIT_S)
             await reporter.step()
         figures = [counts for w, counts in intake.reports if w == window]
         self.assertEqual(figures, [{"one": 1}, {"one": 1}])
@@ -232,13 +232,13 @@
         reporter = self._make(mirror, intake, "n1")
         await trio.sleep(2 * WINDOW_S)
         await reporter.step()
-        await trio.sleep(0.9 * windows.RESEND_S)
-        reporter.take("n2", {window: {"one": 4, "two": 1}})
+        await trio.sleep(0.9 * windows.RESEND_WAIT_S)
+        reporter.receive("n2", {window: {"one": 4, "two": 1}})
         # What a node has written may be newer than what it told before.
-        reporter.take("n1", {window: {"one": 1}})
+        reporter.receive("n1", {window: {"one": 1}})
         mirror.hear_counts(window, "n1", {"one": 2})
         await reporter.step()
         self.assertEqual(intake.reports, [])
-        await trio.sleep(0.2 * windows.RESEND_S)
+        await trio.sleep(0.2 * windows.RESEND_WAIT_S)
         await reporter.step()
         self.assertIn((window, {"one": 6, "two": 1}), intake.reports)
