--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -116,9 +116,9 @@
     ),
     breaks.Break(
         "no usage window with different figures",
-        "usage/copying.py",
-        "collectors = self.collectors()",
-        "collectors = []",
+        "usage/counterreplication.py",
+        "holders = self.replica_holders()",
+        "holders = []",
         "tests.test_usage.ReportingTest"
         ".test_counts_of_a_crashed_node_are_reported",
     ),
--- a/src/kingcupscale/node.py
+++ b/src/kingcupscale/node.py
@@ -47,7 +47,7 @@
 from kingcupscale.serving import plain
 from kingcupscale.serving import services
 from kingcupscale.serving import sessions
-from kingcupscale.usage import copying
+from kingcupscale.usage import counterreplication
 from kingcupscale.usage import counter
 from kingcupscale.usage import reporting
 from kingcupscale.web import httpclient
@@ -176,7 +176,7 @@
             metrics.make_client(self.settings.statsd)
         )
         self.counters = counter.Counters(name)
-        self.copier = copying.Copier(
+        self.counter_replicator = counterreplication.CounterReplicator(
             self.counters,
             self.members,
             self.surroundings.peers,
@@ -239,7 +239,7 @@
             nursery.start_soon(self.gossip.run)
             nursery.start_soon(self.pools.run)
             nursery.start_soon(self.rollouts.run)
-            nursery.start_soon(self.copier.run)
+            nursery.start_soon(self.counter_replicator.run)
             nursery.start_soon(self._run_configured, nursery)
             await self.drain_asked.wait()
             await self._drain()
@@ -297,7 +297,7 @@
             held,
             self.store,
             self.intake,
-            self.copier,
+            self.counter_replicator,
             self.clock,
             self.settings.timings.usage_window_s,
         )
@@ -339,7 +339,7 @@
             while self.entry.active or self.sessions.open_sessions:
                 await self.clock.sleep(DRAIN_POLL_S)
         await self._release_leases()
-        await self.copier.copy_once(own_only=False)
+        await self.counter_replicator.replicate(own_only=False)
         await self.gossip.leave()
         events.log(events.Event.NODE_STOPPED, node=self.settings.name)
 
--- a/src/kingcupscale/usage/counter.py
+++ b/src/kingcupscale/usage/counter.py
@@ -2,11 +2,11 @@
 
 import attrs
 
-Name = tuple[str, str]
-Cell = tuple[str, str, str]
+FigureKey = tuple[str, str]
+CounterKey = tuple[str, str, str]
 Totals = tuple[int, int, int]
 
-NOTHING: Totals = (0, 0, 0)
+ZERO_TOTALS: Totals = (0, 0, 0)
 
 
 @attrs.frozen
@@ -27,17 +27,17 @@
     totals: list[int]
 
     @property
-    def cell(self) -> Cell:
+    def key(self) -> CounterKey:
         """Incarnation, organisation and class."""
         return (self.incarnation, self.organisation, self.service_class)
 
-    def as_totals(self) -> Totals:
+    def to_tuple(self) -> Totals:
         """Returns the totals as counters hold them."""
         return (self.totals[0], self.totals[1], self.totals[2])
 
 
 @attrs.frozen
-class Copy:
+class CounterDelta:
     """Rows that travel between nodes."""
 
     rows: list[Row]
@@ -46,7 +46,7 @@
 class Counters:
     """The totals of all incarnations known to one node.
 
-    Each cell is written by one incarnation only and only grows, so merging
+    Each key is written by one incarnation only and only grows, so merging
     takes the larger value and any order of arrival gives the same.
 
     Args:
@@ -55,7 +55,7 @@
 
     def __init__(self, incarnation: str) -> None:
         self.incarnation = incarnation
-        self.cells: dict[Cell, Totals] = {}
+        self.totals_by_key: dict[CounterKey, Totals] = {}
 
     def add(
         self,
@@ -66,37 +66,37 @@
         generated_tokens: int = 0,
     ) -> None:
         """Counts something this node served."""
-        cell = (self.incarnation, organisation, service_class)
-        old = self.cells.get(cell, NOTHING)
-        self.cells[cell] = (
+        key = (self.incarnation, organisation, service_class)
+        old = self.totals_by_key.get(key, ZERO_TOTALS)
+        self.totals_by_key[key] = (
             old[0] + requests,
             old[1] + prompt_tokens,
             old[2] + generated_tokens,
         )
 
-    def merge(self, copy: Copy) -> None:
+    def merge(self, delta: CounterDelta) -> None:
         """Takes in rows from another node."""
-        for row in copy.rows:
-            known = self.cells.get(row.cell)
-            self.cells[row.cell] = larger(known, row.as_totals())
+        for row in delta.rows:
+            known = self.totals_by_key.get(row.key)
+            self.totals_by_key[row.key] = merge_totals(known, row.to_tuple())
 
-    def copy(self, known: dict[Cell, Totals]) -> Copy:
+    def delta(self, known: dict[CounterKey, Totals]) -> CounterDelta:
         """Returns the rows that differ from what a receiver knows."""
-        return Copy(
+        return CounterDelta(
             [
-                Row(*cell, list(totals))
-                for cell, totals in sorted(self.cells.items())
-                if known.get(cell) != totals
+                Row(*key, list(totals))
+                for key, totals in sorted(self.totals_by_key.items())
+                if known.get(key) != totals
             ]
         )
 
 
-def larger(known: Totals | None, heard: Totals) -> Totals:
-    """Returns the larger of two readings of one cell."""
+def merge_totals(known: Totals | None, received: Totals) -> Totals:
+    """Returns the larger of two readings of one key."""
     if known is None:
-        return heard
+        return received
     return (
-        max(known[0], heard[0]),
-        max(known[1], heard[1]),
-        max(known[2], heard[2]),
+        max(known[0], received[0]),
+        max(known[1], received[1]),
+        max(known[2], received[2]),
     )
--- a/src/kingcupscale/usage/copying.py
+++ b/src/kingcupscale/usage/counterreplication.py
@@ -7,12 +7,12 @@
 from kingcupscale.peering import transport
 from kingcupscale.usage import counter
 
-COPIES = 2
-COPY_EVERY_S = 1.0
+REPLICA_COUNT = 2
+COPY_INTERVAL_S = 1.0
 COPY_TIMEOUT_S = 1.0
 
 
-class Copier:
+class CounterReplicator:
     """Keeps copies of a node's counters on two others.
 
     Args:
@@ -35,30 +35,32 @@
         self.members = members
         self.peers = peers
         self.clock = clock
-        self.known: dict[str, dict[counter.Cell, counter.Totals]] = {}
-        service.register(transport.COPY_USAGE, self._answer_copy)
-        service.register(transport.PULL_USAGE, self._answer_pull)
+        self.known: dict[str, dict[counter.CounterKey, counter.Totals]] = {}
+        service.register(transport.COPY_USAGE, self._handle_copy)
+        service.register(transport.PULL_USAGE, self._handle_pull)
 
-    async def _answer_copy(self, request: peer_pb2.Usage) -> peer_pb2.Empty:
-        self.counters.merge(codec.decode(counter.Copy, request.counters))
+    async def _handle_copy(self, request: peer_pb2.Usage) -> peer_pb2.Empty:
+        self.counters.merge(
+            codec.decode(counter.CounterDelta, request.counters)
+        )
         return peer_pb2.Empty()
 
-    async def _answer_pull(self, _: peer_pb2.Empty) -> peer_pb2.Usage:
-        return peer_pb2.Usage(counters=codec.encode(self.counters.copy({})))
+    async def _handle_pull(self, _: peer_pb2.Empty) -> peer_pb2.Usage:
+        return peer_pb2.Usage(counters=codec.encode(self.counters.delta({})))
 
-    def collectors(self) -> list[membership.Member]:
+    def replica_holders(self) -> list[membership.Member]:
         """Returns the members that keep copies for this node."""
         ranked = self.members.ranked(f"usage/{self.members.me.name}")
         others = [m for m in ranked if m.name != self.members.me.name]
-        return others[:COPIES]
+        return others[:REPLICA_COUNT]
 
     async def run(self) -> None:
         """Copies what has changed until cancelled."""
         while True:
-            await self.copy_once(own_only=True)
-            await self.clock.sleep(COPY_EVERY_S)
+            await self.replicate(own_only=True)
+            await self.clock.sleep(COPY_INTERVAL_S)
 
-    async def copy_once(self, own_only: bool) -> bool:
+    async def replicate(self, own_only: bool) -> bool:
         """Copies to both collectors what they lack.
 
         Args:
@@ -67,22 +69,24 @@
         Returns:
             Whether at least one collector has everything.
         """
-        collectors = self.collectors()
-        names = {member.name for member in collectors}
+        holders = self.replica_holders()
+        names = {member.name for member in holders}
         self.known = {n: k for n, k in self.known.items() if n in names}
-        results = [await self._copy_to(m, own_only) for m in collectors]
+        results = [await self._copy_to(m, own_only) for m in holders]
         return any(results)
 
     async def _copy_to(self, member: membership.Member, own_only: bool) -> bool:
         is_new = member.name not in self.known
         known = self.known.setdefault(member.name, {})
-        copy = self.counters.copy(known)
+        delta = self.counters.delta(known)
         if own_only and not is_new:
             own = self.counters.incarnation
-            copy = counter.Copy([r for r in copy.rows if r.incarnation == own])
-        if not copy.rows:
+            delta = counter.CounterDelta(
+                [r for r in delta.rows if r.incarnation == own]
+            )
+        if not delta.rows:
             return True
-        request = peer_pb2.Usage(counters=codec.encode(copy))
+        request = peer_pb2.Usage(counters=codec.encode(delta))
         try:
             await self.peers.call(
                 member.address, transport.COPY_USAGE, request, COPY_TIMEOUT_S
@@ -90,11 +94,11 @@
         except transport.PeerError:
             self.known.pop(member.name, None)
             return False
-        for row in copy.rows:
-            known[row.cell] = row.as_totals()
+        for row in delta.rows:
+            known[row.key] = row.to_tuple()
         return True
 
-    async def pull_all(self) -> None:
+    async def fetch_all(self) -> None:
         """Takes in the counters of every member in reach."""
         for member in self.members.others():
             try:
@@ -106,4 +110,6 @@
                 )
             except transport.PeerError:
                 continue
-            self.counters.merge(codec.decode(counter.Copy, reply.counters))
+            self.counters.merge(
+                codec.decode(counter.CounterDelta, reply.counters)
+            )
--- a/src/kingcupscale/usage/reporting.py
+++ b/src/kingcupscale/usage/reporting.py
@@ -11,8 +11,8 @@
 from kingcupscale.providers import calls
 from kingcupscale.providers import keyvalue
 from kingcupscale.providers import usageintake
-from kingcupscale.usage import copying
 from kingcupscale.usage import counter
+from kingcupscale.usage import counterreplication
 
 PREFIX = "usage/"
 WINDOWS_KEPT = 8
@@ -63,7 +63,7 @@
         lease: The shard's lease.
         store: The key-value service.
         intake: Takes the reports.
-        copier: Brings the counters together.
+        replicator: Brings the counters together.
         clock: Tells the time.
         window_s: Length of a window in seconds.
     """
@@ -75,7 +75,7 @@
         lease: leases.Lease,
         store: keyvalue.KeyValueStore,
         intake: usageintake.UsageIntake,
-        copier: copying.Copier,
+        replicator: counterreplication.CounterReplicator,
         clock: clocks.Clock,
         window_s: float,
     ) -> None:
@@ -84,7 +84,7 @@
         self.lease = lease
         self.store = store
         self.intake = intake
-        self.copier = copier
+        self.replicator = replicator
         self.clock = clock
         self.window_s = window_s
         self.ledger = Ledger([], [], "")
@@ -108,7 +108,7 @@
         windows = self.ledger.windows
         newest = windows[-1].window if windows else 0
         if ended > newest:
-            await self.copier.pull_all()
+            await self.replicator.fetch_all()
             await self._write(self._add_window(ended))
         for window in self.ledger.windows:
             if not window.sent:
@@ -129,22 +129,22 @@
         self.version = answer.version
 
     def _add_window(self, window: int) -> Ledger:
-        reported = _cells(self.ledger.reported)
-        counted = self._own_cells()
-        figures = _sum_up(reported, counted)
+        reported = _totals_by_key(self.ledger.reported)
+        counted = self._own_totals()
+        figures = _sum_unreported(reported, counted)
         merged = dict(reported)
-        for cell, totals in counted.items():
-            merged[cell] = counter.larger(merged.get(cell), totals)
+        for key, totals in counted.items():
+            merged[key] = counter.merge_totals(merged.get(key), totals)
         rows = [counter.Row(*c, list(t)) for c, t in sorted(merged.items())]
-        windows = [*_without_old(self.ledger.windows)]
+        windows = [*_drop_old(self.ledger.windows)]
         windows.append(Window(window, figures, False))
         return Ledger(windows, rows, keyvalue.new_token())
 
-    def _own_cells(self) -> dict[counter.Cell, counter.Totals]:
+    def _own_totals(self) -> dict[counter.CounterKey, counter.Totals]:
         return {
-            cell: totals
-            for cell, totals in self.copier.counters.cells.items()
-            if hashing.number(cell[1]) % self.shards == self.shard
+            key: totals
+            for key, totals in self.replicator.counters.totals_by_key.items()
+            if hashing.number(key[1]) % self.shards == self.shard
         }
 
     async def _send(self, window: Window) -> None:
@@ -182,18 +182,20 @@
         )
 
 
-def _cells(rows: list[counter.Row]) -> dict[counter.Cell, counter.Totals]:
-    return {row.cell: row.as_totals() for row in rows}
+def _totals_by_key(
+    rows: list[counter.Row],
+) -> dict[counter.CounterKey, counter.Totals]:
+    return {row.key: row.to_tuple() for row in rows}
 
 
-def _sum_up(
-    reported: dict[counter.Cell, counter.Totals],
-    counted: dict[counter.Cell, counter.Totals],
+def _sum_unreported(
+    reported: dict[counter.CounterKey, counter.Totals],
+    counted: dict[counter.CounterKey, counter.Totals],
 ) -> list[usageintake.Figure]:
-    sums: dict[counter.Name, list[int]] = {}
-    for cell, totals in counted.items():
-        before = reported.get(cell, counter.NOTHING)
-        figure = sums.setdefault((cell[1], cell[2]), [0, 0, 0])
+    sums: dict[counter.FigureKey, list[int]] = {}
+    for key, totals in counted.items():
+        before = reported.get(key, counter.ZERO_TOTALS)
+        figure = sums.setdefault((key[1], key[2]), [0, 0, 0])
         for index in range(len(figure)):
             figure[index] += max(0, totals[index] - before[index])
     return [
@@ -203,7 +205,7 @@
     ]
 
 
-def _without_old(windows: list[Window]) -> list[Window]:
+def _drop_old(windows: list[Window]) -> list[Window]:
     unsent = [w for w in windows if not w.sent]
     sent = [w for w in windows if w.sent]
     kept = [*sent[-WINDOWS_KEPT:], *unsent]
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -25,8 +25,8 @@
 def merged(*copies):
     counters = counter.Counters("me/1")
     for copy in copies:
-        counters.merge(counter.Copy(copy))
-    return counters.cells
+        counters.merge(counter.CounterDelta(copy))
+    return counters.totals_by_key
 
 
 class CountersTest(unittest.TestCase):
@@ -40,10 +40,10 @@
     def test_copy_holds_only_what_the_receiver_lacks(self):
         counters = counter.Counters("me/1")
         counters.add("x", "customer", 1, 2, 3)
-        copy = counters.copy({})
-        self.assertEqual(len(copy.rows), 1)
+        delta = counters.delta({})
+        self.assertEqual(len(delta.rows), 1)
         self.assertEqual(
-            counters.copy({("me/1", "x", "customer"): (1, 2, 3)}).rows, []
+            counters.delta({("me/1", "x", "customer"): (1, 2, 3)}).rows, []
         )
 
 
