--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -88,14 +88,14 @@
     breaks.Break(
         "orders from one process",
         "duties/lease.py",
-        "return self.orders_from <= now < last",
+        "return self.orders_allowed_from <= now < last",
         "return now < last",
         "tests.test_lease.LeaseTest.test_new_holder_waits_out_orders_under_way",
     ),
     breaks.Break(
         "orders from one process",
         "duties/lease.py",
-        "if self.epoch != epoch or not self.may_order():",
+        "if self.epoch != epoch or not self.can_send_orders():",
         "if False:",
         "tests.test_lease.LeaseTest"
         ".test_paused_holder_is_followed_and_cannot_order",
--- a/src/kingcupscale/capacity/ordering.py
+++ b/src/kingcupscale/capacity/ordering.py
@@ -10,7 +10,7 @@
 from kingcupscale.configuration import document
 from kingcupscale.configuration import editor as editors
 from kingcupscale.duties import journal as journals
-from kingcupscale.duties import orders as orderdesk
+from kingcupscale.duties import ordersender
 from kingcupscale.providers import capacityprovider
 from kingcupscale.serving import services
 
@@ -26,7 +26,7 @@
         pools: The services.
         provider: Takes the orders.
         editor: Enters ordered servers into the configuration.
-        desk: Sends the orders.
+        order_sender: Sends the orders.
         clock: Tells the time.
     """
 
@@ -36,14 +36,14 @@
         pools: services.Services,
         provider: capacityprovider.CapacityProvider,
         editor: editors.Editor,
-        desk: orderdesk.OrderDesk,
+        order_sender: ordersender.OrderSender,
         clock: clocks.Clock,
     ) -> None:
         self.zone = zone
         self.pools = pools
         self.provider = provider
         self.editor = editor
-        self.desk = desk
+        self.order_sender = order_sender
         self.clock = clock
         self.rules: dict[str, scaling.ScalingRule] = {}
         self.draining: dict[str, float] = {}
@@ -149,18 +149,18 @@
             codec.encode(order).decode(),
             self.clock.now(),
         )
-        await self.desk.carry_out([entry], self.send)
+        await self.order_sender.send_orders([entry], self.send)
 
     async def send(
-        self, order: journals.JournalOrder, guard: orderdesk.Guard
-    ) -> orderdesk.Outcome:
+        self, order: journals.JournalOrder, lease_check: ordersender.LeaseCheck
+    ) -> ordersender.Outcome:
         """Sends one journalled order to the platform."""
         body = codec.decode(capacityprovider.CapacityOrder, order.detail)
         answer = await self.provider.order(
-            attrs.evolve(body, epoch=order.epoch), guard
+            attrs.evolve(body, epoch=order.epoch), lease_check
         )
         text = answer.server if answer.accepted else answer.reason
-        return orderdesk.Outcome(answer.accepted, text)
+        return ordersender.Outcome(answer.accepted, text)
 
     async def _enter(
         self, listed: list[capacityprovider.OrderedServer]
--- a/src/kingcupscale/capacity/zone.py
+++ b/src/kingcupscale/capacity/zone.py
@@ -2,7 +2,7 @@
 
 from kingcupscale import events
 from kingcupscale.capacity import ordering
-from kingcupscale.duties import orders as orderdesk
+from kingcupscale.duties import ordersender
 from kingcupscale.rollouts import activation
 
 
@@ -10,35 +10,35 @@
     """Everything that only the zone's lease holder may order.
 
     Args:
-        desk: Sends and records the orders.
+        order_sender: Sends and records the orders.
         weights: Brings weights to the engines.
         servers: Starts and stops servers.
     """
 
     def __init__(
         self,
-        desk: orderdesk.OrderDesk,
+        order_sender: ordersender.OrderSender,
         weights: activation.Activation,
         servers: ordering.Ordering,
     ) -> None:
-        self.desk = desk
+        self.order_sender = order_sender
         self.weights = weights
         self.servers = servers
 
     async def take_over(self) -> None:
         """Settles the orders that a former holder left open."""
-        for order in await self.desk.journal.open():
+        for order in await self.order_sender.journal.open():
             events.log(
                 events.Event.ORDER_RECONCILED,
-                node=self.desk.lease.node,
-                lease=self.desk.lease.name,
+                node=self.order_sender.lease.node,
+                lease=self.order_sender.lease.name,
                 kind=order.kind,
                 target=order.target,
                 epoch=order.epoch,
             )
         await self._settle_open()
 
-    async def work(self) -> None:
+    async def run_once(self) -> None:
         """Does one round."""
         await self._settle_open()
         await self.weights.round()
@@ -51,11 +51,13 @@
         rounds work from what engines say of themselves; a capacity order is
         not, since its server may exist.
         """
-        pending = self.desk.journal.pending()
+        pending = self.order_sender.journal.pending()
         engines = [o for o in pending if o.kind == activation.ORDER_KIND]
         others = [o for o in pending if o.kind == ordering.ORDER_KIND]
         if engines:
-            settled = await self.desk.carry_out(engines, self.weights.send)
-            await self.desk.give_up(settled)
+            settled = await self.order_sender.send_orders(
+                engines, self.weights.send
+            )
+            await self.order_sender.mark_failed(settled)
         if others:
-            await self.desk.carry_out(others, self.servers.send)
+            await self.order_sender.send_orders(others, self.servers.send)
--- a/src/kingcupscale/duties/candidates.py
+++ b/src/kingcupscale/duties/candidates.py
@@ -2,7 +2,7 @@
 
 from kingcupscale.peering import members as membership
 
-CANDIDATES = 2
+MAX_CANDIDATES = 2
 
 
 def is_candidate(
@@ -17,4 +17,4 @@
         members: The members it knows.
         zone: Availability zone whose nodes come first; empty for any.
     """
-    return members.me in members.ranked(duty, zone)[:CANDIDATES]
+    return members.me in members.ranked(duty, zone)[:MAX_CANDIDATES]
--- a/src/kingcupscale/duties/journal.py
+++ b/src/kingcupscale/duties/journal.py
@@ -118,12 +118,12 @@
         orders = self.orders.values()
         return [o for o in orders if o.state is OrderState.INTENDED]
 
-    async def intend(self, orders: list[JournalOrder]) -> None:
+    async def record_intended(self, orders: list[JournalOrder]) -> None:
         """Records orders before any of them is sent."""
         self.orders.update({o.order_id: o for o in orders})
         await self._write(self.epoch)
 
-    async def settle(self, orders: list[JournalOrder]) -> None:
+    async def record_outcomes(self, orders: list[JournalOrder]) -> None:
         """Records outcomes."""
         self.orders.update({o.order_id: o for o in orders})
         self._drop_old()
--- a/src/kingcupscale/duties/lease.py
+++ b/src/kingcupscale/duties/lease.py
@@ -46,12 +46,12 @@
 
 
 @attrs.frozen
-class Sighting:
+class ObservedRecord:
     """A record as a contender first saw it."""
 
     version: int
     record: LeaseRecord
-    at: float
+    at_s: float
 
 
 class Lease:
@@ -84,9 +84,9 @@
         self.settings = settings
         self.epoch = 0
         self.deadline = 0.0
-        self.orders_from = 0.0
+        self.orders_allowed_from = 0.0
         self.version = keyvalue.ABSENT
-        self.sighting: Sighting | None = None
+        self.observed: ObservedRecord | None = None
 
     @property
     def key(self) -> str:
@@ -97,7 +97,7 @@
         """Tells whether this node holds the lease right now."""
         return self.clock.monotonic() < self.deadline
 
-    def may_order(self) -> bool:
+    def can_send_orders(self) -> bool:
         """Tells whether an order may be sent right now.
 
         Not while an order of the former holder may still be under way, nor
@@ -105,7 +105,7 @@
         """
         now = self.clock.monotonic()
         last = self.deadline - self.settings.order_timeout_s
-        return self.orders_from <= now < last
+        return self.orders_allowed_from <= now < last
 
     def check_order(self, epoch: int) -> None:
         """Lets an order leave; called right before its first byte.
@@ -113,13 +113,13 @@
         Raises:
             ServiceError: ``LEASE_LOST`` if the epoch is no longer ours.
         """
-        if self.epoch != epoch or not self.may_order():
+        if self.epoch != epoch or not self.can_send_orders():
             raise errors.ServiceError(
                 errors.ResultCode.LEASE_LOST,
                 f"{self.name} epoch {epoch} may not send now",
             )
 
-    async def attempt(self) -> None:
+    async def renew_or_acquire(self) -> None:
         """Renews the lease, or takes it if it is free or has lapsed.
 
         Raises:
@@ -132,20 +132,20 @@
         record = codec.decode(LeaseRecord, entry.value)
         if record.holder == self.node and self._is_own(record):
             await self._write(record.epoch, entry.version)
-        elif not record.holder or self._has_lapsed(entry.version, record):
+        elif not record.holder or self._has_expired(entry.version, record):
             await self._write(record.epoch + 1, entry.version)
         elif self.epoch:
-            self._lose()
+            self._set_lost()
 
     def _is_own(self, record: LeaseRecord) -> bool:
         """Tells our own record from one of an earlier run of this node."""
         return self.epoch == record.epoch
 
-    def _has_lapsed(self, version: int, record: LeaseRecord) -> bool:
+    def _has_expired(self, version: int, record: LeaseRecord) -> bool:
         now = self.clock.monotonic()
-        if self.sighting is None or self.sighting.version != version:
-            self.sighting = Sighting(version, record, now)
-        return now - self.sighting.at >= self.settings.ttl_s
+        if self.observed is None or self.observed.version != version:
+            self.observed = ObservedRecord(version, record, now)
+        return now - self.observed.at_s >= self.settings.ttl_s
 
     async def _write(self, epoch: int, version: int) -> None:
         sent_at = self.clock.monotonic()
@@ -158,12 +158,12 @@
             return
         self.version = answer.version
         if epoch != self.epoch:
-            self._gain(epoch)
+            self._set_acquired(epoch)
         self.deadline = sent_at + self.settings.ttl_s
 
-    def _gain(self, epoch: int) -> None:
+    def _set_acquired(self, epoch: int) -> None:
         self.epoch = epoch
-        self.orders_from = (
+        self.orders_allowed_from = (
             self.clock.monotonic() + self.settings.order_timeout_s
         )
         events.log(
@@ -173,7 +173,7 @@
             epoch=epoch,
         )
 
-    def _lose(self) -> None:
+    def _set_lost(self) -> None:
         events.log(
             events.Event.LEASE_LOST,
             node=self.node,
@@ -194,11 +194,11 @@
             return
         record = LeaseRecord("", self.epoch, keyvalue.new_token())
         text = codec.encode(record).decode()
-        self._lose()
+        self._set_lost()
         await self.store.put(self.key, text, self.version)
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Keeps trying for a lease while this node is a candidate.
 
     Args:
@@ -221,12 +221,12 @@
         """Tries or renews until cancelled."""
         while True:
             if self.lease.is_held() or self.is_candidate():
-                await self._attempt()
+                await self._renew_or_acquire()
             await self.clock.sleep(self.lease.settings.renew_s)
 
-    async def _attempt(self) -> None:
+    async def _renew_or_acquire(self) -> None:
         try:
-            await self.lease.attempt()
+            await self.lease.renew_or_acquire()
         except calls.PlatformError as e:
             events.log(
                 events.Event.STORE_FAILED,
--- a/src/kingcupscale/duties/orders.py
+++ b/src/kingcupscale/duties/ordersender.py
@@ -12,7 +12,7 @@
 from kingcupscale.duties import lease as leases
 from kingcupscale.providers import calls
 
-Guard = Callable[[], None]
+LeaseCheck = Callable[[], None]
 
 
 @attrs.frozen
@@ -23,10 +23,10 @@
     text: str
 
 
-Send = Callable[[journals.JournalOrder, Guard], Awaitable[Outcome]]
+Send = Callable[[journals.JournalOrder, LeaseCheck], Awaitable[Outcome]]
 
 
-class OrderDesk:
+class OrderSender:
     """Sends the orders of one duty.
 
     An order whose answer was lost stays open in the journal and is sent
@@ -41,14 +41,14 @@
         self.lease = lease
         self.journal = journal
 
-    async def carry_out(
+    async def send_orders(
         self, orders: list[journals.JournalOrder], send: Send
     ) -> list[journals.JournalOrder]:
         """Records orders, sends them side by side, records the outcomes.
 
         Args:
             orders: New orders, or open ones of an earlier epoch.
-            send: Sends one order; calls the guard right before its first
+            send: Sends one order; calls the lease_check right before its first
                 byte leaves.
 
         Returns:
@@ -56,7 +56,7 @@
         """
         epoch = self.lease.epoch
         orders = [attrs.evolve(order, epoch=epoch) for order in orders]
-        await self.journal.intend(orders)
+        await self.journal.record_intended(orders)
         events.log(
             events.Event.ORDER_INTENDED,
             node=self.lease.node,
@@ -68,11 +68,11 @@
         async with trio.open_nursery() as nursery:
             for order in orders:
                 nursery.start_soon(self._send, order, send, settled)
-        await self.journal.settle(settled)
+        await self.journal.record_outcomes(settled)
         self._log_settled(settled)
         return settled
 
-    async def give_up(self, orders: list[journals.JournalOrder]) -> None:
+    async def mark_failed(self, orders: list[journals.JournalOrder]) -> None:
         """Records those orders that are still open as failed."""
         lost = [
             attrs.evolve(order, state=journals.OrderState.FAILED)
@@ -80,7 +80,7 @@
             if order.state is journals.OrderState.INTENDED
         ]
         if lost:
-            await self.journal.settle(lost)
+            await self.journal.record_outcomes(lost)
 
     async def _send(
         self,
@@ -88,11 +88,11 @@
         send: Send,
         settled: list[journals.JournalOrder],
     ) -> None:
-        def guard() -> None:
+        def lease_check() -> None:
             self.lease.check_order(order.epoch)
 
         try:
-            outcome = await send(order, guard)
+            outcome = await send(order, lease_check)
         except (calls.PlatformError, errors.ServiceError) as e:
             settled.append(attrs.evolve(order, outcome=str(e)))
             return
--- a/src/kingcupscale/duties/runner.py
+++ b/src/kingcupscale/duties/runner.py
@@ -17,7 +17,7 @@
         """Settles what a former holder left open."""
         ...
 
-    async def work(self) -> None:
+    async def run_once(self) -> None:
         """Does one round."""
         ...
 
@@ -29,7 +29,7 @@
         lease: The duty's lease.
         duty: The work.
         clock: Tells the time.
-        tick_s: Seconds between rounds.
+        interval_s: Seconds between rounds.
     """
 
     def __init__(
@@ -37,28 +37,28 @@
         lease: leases.Lease,
         duty: Duty,
         clock: clocks.Clock,
-        tick_s: float,
+        interval_s: float,
     ) -> None:
         self.lease = lease
         self.duty = duty
         self.clock = clock
-        self.tick_s = tick_s
+        self.interval_s = interval_s
         self.epoch = 0
 
     async def run(self) -> None:
         """Runs the duty until cancelled."""
         while True:
-            if self.lease.may_order():
-                await self._round()
-            await self.clock.sleep(self.tick_s)
+            if self.lease.can_send_orders():
+                await self._run_round()
+            await self.clock.sleep(self.interval_s)
 
-    async def _round(self) -> None:
+    async def _run_round(self) -> None:
         epoch = self.lease.epoch
         try:
             if self.epoch != epoch:
                 await self.duty.take_over()
                 self.epoch = epoch
-            await self.duty.work()
+            await self.duty.run_once()
         except journals.JournalError:
             self.epoch = 0
         except (calls.PlatformError, errors.ServiceError) as e:
--- a/src/kingcupscale/node.py
+++ b/src/kingcupscale/node.py
@@ -22,7 +22,7 @@
 from kingcupscale.duties import candidates
 from kingcupscale.duties import journal
 from kingcupscale.duties import lease
-from kingcupscale.duties import orders
+from kingcupscale.duties import ordersender
 from kingcupscale.duties import runner
 from kingcupscale.operating import api
 from kingcupscale.operating import handover
@@ -47,8 +47,8 @@
 from kingcupscale.serving import plain
 from kingcupscale.serving import services
 from kingcupscale.serving import sessions
-from kingcupscale.usage import counterreplication
 from kingcupscale.usage import counter
+from kingcupscale.usage import counterreplication
 from kingcupscale.usage import reporting
 from kingcupscale.web import httpclient
 
@@ -271,20 +271,27 @@
 
     def _start_zone_duty(self, zone: str, nursery: trio.Nursery) -> None:
         held = self._start_lease(f"zone/{zone}", zone, nursery)
-        desk = orders.OrderDesk(held, journal.Journal(self.store, held))
+        order_sender = ordersender.OrderSender(
+            held, journal.Journal(self.store, held)
+        )
         weights = activation.Activation(
             zone,
             self.pools,
             self.publications,
             self.surroundings.http_client,
-            desk,
+            order_sender,
             self.clock,
             self.settings.timings.order_timeout_s,
         )
         servers = ordering.Ordering(
-            zone, self.pools, self.provider, self.editor, desk, self.clock
+            zone,
+            self.pools,
+            self.provider,
+            self.editor,
+            order_sender,
+            self.clock,
         )
-        duty = zones.ZoneDuty(desk, weights, servers)
+        duty = zones.ZoneDuty(order_sender, weights, servers)
         nursery.start_soon(
             runner.DutyRunner(held, duty, self.clock, ZONE_TICK_S).run
         )
@@ -324,7 +331,7 @@
         rule: Callable[[], bool] = functools.partial(
             candidates.is_candidate, name, self.members, zone
         )
-        nursery.start_soon(lease.LeaseKeeper(held, rule, self.clock).run)
+        nursery.start_soon(lease.LeaseManager(held, rule, self.clock).run)
         return held
 
     async def _drain(self) -> None:
--- a/src/kingcupscale/rollouts/activation.py
+++ b/src/kingcupscale/rollouts/activation.py
@@ -10,7 +10,7 @@
 from kingcupscale import events
 from kingcupscale.configuration import document
 from kingcupscale.duties import journal as journals
-from kingcupscale.duties import orders as orderdesk
+from kingcupscale.duties import ordersender
 from kingcupscale.providers import calls
 from kingcupscale.providers import engine
 from kingcupscale.rollouts import publication
@@ -80,7 +80,7 @@
         pools: The services.
         publications: What is published and staged.
         http_client: Reaches the engines.
-        desk: Sends the orders.
+        order_sender: Sends the orders.
         clock: Tells the time.
         order_timeout_s: Longest time an order may be under way.
     """
@@ -91,7 +91,7 @@
         pools: services.Services,
         publications: publication.Publications,
         http_client: httpclient.HttpClient,
-        desk: orderdesk.OrderDesk,
+        order_sender: ordersender.OrderSender,
         clock: clocks.Clock,
         order_timeout_s: float,
     ) -> None:
@@ -99,7 +99,7 @@
         self.pools = pools
         self.publications = publications
         self.http_client = http_client
-        self.desk = desk
+        self.order_sender = order_sender
         self.clock = clock
         self.order_timeout_s = order_timeout_s
         self.views: dict[str, EngineView] = {}
@@ -193,7 +193,7 @@
         if not views:
             return
         orders = [self._make_order(view, head, kind) for view in views]
-        for order in await self.desk.carry_out(orders, self.send):
+        for order in await self.order_sender.send_orders(orders, self.send):
             self._note(order, head, kind)
 
     def _make_order(
@@ -216,8 +216,8 @@
         )
 
     async def send(
-        self, order: journals.JournalOrder, guard: orderdesk.Guard
-    ) -> orderdesk.Outcome:
+        self, order: journals.JournalOrder, lease_check: ordersender.LeaseCheck
+    ) -> ordersender.Outcome:
         """Sends one journalled order to its engine."""
         body = codec.decode(engine.EngineOrder, order.detail)
         state = await engine.send_order(
@@ -225,11 +225,11 @@
             order.target,
             attrs.evolve(body, epoch=order.epoch),
             self.order_timeout_s,
-            guard,
+            lease_check,
         )
         view = self.views.setdefault(order.target, EngineView(order.target))
         view.state = state
-        return orderdesk.Outcome(state.accepted, state.reason)
+        return ordersender.Outcome(state.accepted, state.reason)
 
     def _note(
         self,
--- a/src/kingcupscale/usage/reporting.py
+++ b/src/kingcupscale/usage/reporting.py
@@ -102,7 +102,7 @@
             self.ledger = codec.decode(Ledger, entry.value)
             self.version = entry.version
 
-    async def work(self) -> None:
+    async def run_once(self) -> None:
         """Adds the window that has ended, and sends what is not sent."""
         ended = int(self.clock.now().timestamp() // self.window_s) - 1
         windows = self.ledger.windows
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -42,8 +42,8 @@
 
     async def contend(self, nursery):
         for lease in self.leases:
-            keeper = leases.LeaseKeeper(lease, lambda: True, self.clock)
-            nursery.start_soon(keeper.run)
+            manager = leases.LeaseManager(lease, lambda: True, self.clock)
+            nursery.start_soon(manager.run)
 
 
 class LeaseTest(unittest.TestCase):
@@ -65,11 +65,11 @@
         async with trio.open_nursery() as nursery:
             bed = Bed(nursery)
             one, two = bed.leases
-            await one.attempt()
+            await one.renew_or_acquire()
             await trio.sleep(3)
-            self.assertTrue(one.may_order())
-            keeper = leases.LeaseKeeper(two, lambda: True, bed.clock)
-            nursery.start_soon(keeper.run)
+            self.assertTrue(one.can_send_orders())
+            manager = leases.LeaseManager(two, lambda: True, bed.clock)
+            nursery.start_soon(manager.run)
             await trio.sleep(14)
             self.assertTrue(two.is_held())
             self.assertEqual(two.epoch, 2)
@@ -82,11 +82,11 @@
     async def test_new_holder_waits_out_orders_under_way(self):
         async with trio.open_nursery() as nursery:
             bed = Bed(nursery)
-            await bed.leases[0].attempt()
+            await bed.leases[0].renew_or_acquire()
             self.assertTrue(bed.leases[0].is_held())
-            self.assertFalse(bed.leases[0].may_order())
+            self.assertFalse(bed.leases[0].can_send_orders())
             await trio.sleep(SETTINGS.order_timeout_s + 0.01)
-            self.assertTrue(bed.leases[0].may_order())
+            self.assertTrue(bed.leases[0].can_send_orders())
 
     @virtual.on_virtual_time
     async def test_deadline_counts_from_before_the_renewal_was_sent(self):
@@ -94,7 +94,7 @@
             bed = Bed(nursery)
             bed.store.slow_s = 1.5
             before = bed.clock.monotonic()
-            await bed.leases[0].attempt()
+            await bed.leases[0].renew_or_acquire()
             written_after = before + 2 * bed.store.slow_s
             self.assertLess(
                 bed.leases[0].deadline, written_after + SETTINGS.ttl_s
@@ -118,9 +118,9 @@
     async def test_restarted_node_does_not_take_its_old_lease_for_its_own(self):
         async with trio.open_nursery() as nursery:
             bed = Bed(nursery)
-            await bed.leases[0].attempt()
+            await bed.leases[0].renew_or_acquire()
             again = bed.make_lease("one")
-            await again.attempt()
+            await again.renew_or_acquire()
             self.assertFalse(again.is_held())
 
     @parameterized.parameterized.expand(
@@ -182,9 +182,9 @@
             order = journals.JournalOrder(
                 "id", 1, "engine", "plume-1", "", bed.clock.now()
             )
-            await one.intend([order])
+            await one.record_intended([order])
             self.assertEqual(await two.open(), [order])
             with self.assertRaises(journals.JournalError):
-                await one.intend([order])
+                await one.record_intended([order])
             with self.assertRaises(journals.JournalError):
                 await one.open()
