--- a/src/kingcupscale/fleet/peers.py
+++ b/src/kingcupscale/fleet/peers.py
@@ -139,7 +139,9 @@
         for name in names:
             if self.not_before.get(name, 0.0) > self.clock.monotonic():
                 continue
-            changes = await self._ask(name, addresses[name], position, interest)
+            changes = await self._fetch_changes_from(
+                name, addresses[name], position, interest
+            )
             if changes is not None:
                 return changes
         return None
@@ -241,7 +243,7 @@
         """Records that a copy could not be sent to a node."""
         self.failed_until[node] = self.clock.monotonic() + SEND_FAILURE_PAUSE_S
 
-    async def _ask(
+    async def _fetch_changes_from(
         self,
         name: str,
         address: str,
--- a/src/kingcupscale/fleet/registry.py
+++ b/src/kingcupscale/fleet/registry.py
@@ -9,7 +9,7 @@
 from kingcupscale import events
 
 # After the store has recovered, servers have this long to register again before
-# a missing entry means that they are gone.
+# a missing entry means that they have stopped.
 REREGISTRATION_S = 2.3
 # A server that fails is ejected for this long; the time doubles with each
 # consecutive failure.
--- a/src/kingcupscale/fleet/serverclient.py
+++ b/src/kingcupscale/fleet/serverclient.py
@@ -182,7 +182,7 @@
         """
         ...
 
-    def events(self, answer: ServerResponse) -> AsyncIterator[StreamEvent]:
+    def events(self, response: ServerResponse) -> AsyncIterator[StreamEvent]:
         """Yields the complete events of a streamed response.
 
         Raises:
--- a/src/kingcupscale/gateway/admission.py
+++ b/src/kingcupscale/gateway/admission.py
@@ -36,8 +36,8 @@
             ServiceError: If there is no route, the key gives no access, or
                 the configuration may be too old to tell.
         """
-        configured = self._configured()
-        route = configured.find_route(inbound.host, inbound.path)
+        current = self._require_catalogue()
+        route = current.find_route(inbound.host, inbound.path)
         if route is None:
             raise self.make_refusal(errors.ResultCode.ROUTE_UNKNOWN)
         return route, self.authenticate(route, inbound.key)
@@ -55,10 +55,10 @@
                 configuration may be too old to tell.
         """
         is_open = route is not None and route.is_open
-        configured = self._configured()
-        if is_open or not configured.organisations:
+        current = self._require_catalogue()
+        if is_open or not current.organisations:
             return None
-        organisation = configured.find_organisation(key)
+        organisation = current.find_organisation(key)
         if organisation is None:
             raise self.make_refusal(errors.ResultCode.KEY_REFUSED)
         return organisation
@@ -71,10 +71,10 @@
         """
         return self.find_staleness_error() or errors.ServiceError(code)
 
-    def _configured(self) -> catalogue.Catalogue:
-        configured = self.current_catalogue()
-        if configured is None:
+    def _require_catalogue(self) -> catalogue.Catalogue:
+        current = self.current_catalogue()
+        if current is None:
             raise errors.ServiceError(
                 errors.ResultCode.NOT_READY, retry_after_s=NOT_READY_RETRY_S
             )
-        return configured
+        return current
--- a/src/kingcupscale/gateway/callstate.py
+++ b/src/kingcupscale/gateway/callstate.py
@@ -16,7 +16,8 @@
         deadline: Monotonic time at which the call times out.
         wait_until: Monotonic time until which it waits for a free slot.
         tried: Servers that have or may have executed it.
-        full: Servers that rejected it since the last poll.
+        unavailable: Servers that rejected it or were unreachable since the
+            last poll.
         sent: Number of attempts that may have been executed.
         reason: Why the last attempt failed.
     """
@@ -27,6 +28,6 @@
     deadline: float
     wait_until: float
     tried: set[str] = attrs.field(factory=set)
-    full: set[str] = attrs.field(factory=set)
+    unavailable: set[str] = attrs.field(factory=set)
     sent: int = 0
     reason: str = ""
--- a/src/kingcupscale/gateway/forwarder.py
+++ b/src/kingcupscale/gateway/forwarder.py
@@ -115,10 +115,10 @@
             server = await self._wait_for_server(inbound, state)
             if server is None:
                 break
-            answer = await self._try_server(inbound, state, server)
-            if answer is not None:
-                last_response = answer
-                if answer.status < 500 or not self._may_retry(state):
+            response = await self._try_server(inbound, state, server)
+            if response is not None:
+                last_response = response
+                if response.status < 500 or not self._may_retry(state):
                     break
             elif state.reason and not self._may_retry(state):
                 break
@@ -131,7 +131,7 @@
         self,
         inbound: inboundrequest.InboundRequest,
         state: callstate.CallState,
-        answer: message.Response,
+        response: message.Response,
     ) -> None:
         elapsed_s = self.clock.monotonic() - inbound.received_at
         label = state.organisation.name if state.organisation else "open"
@@ -142,12 +142,12 @@
             elapsed_s * 1000,
         )
         is_late = elapsed_s > state.route.target_latency_s
-        if is_late or answer.status >= 500 or state.sent > 1:
+        if is_late or response.status >= 500 or state.sent > 1:
             events.log(
                 events.Event.CALL_ANSWERED,
                 request=inbound.request_id,
                 route=state.route.name,
-                status=answer.status,
+                status=response.status,
                 elapsed_s=round(elapsed_s, 3),
                 sent=state.sent,
                 tried=sorted(state.tried),
@@ -189,7 +189,7 @@
                 return server
             if now >= until:
                 return None
-            state.full.clear()
+            state.unavailable.clear()
             await self.clock.sleep(QUEUE_POLL_S)
 
     def _choose_server(
@@ -201,7 +201,7 @@
         usable = [
             server
             for server in self.servers.list_servers(state.service)
-            if server.is_usable(now) and server.id not in state.full
+            if server.is_usable(now) and server.id not in state.unavailable
         ]
         if inbound.is_background:
             # Background calls leave one slot of each server to other calls.
@@ -225,10 +225,10 @@
             timeout_s = min(left_s, self._attempt_timeout_s(state))
         call = self._make_call(inbound, state, left_s)
         server.in_flight += 1
-        answer: message.Response | None = None
+        response: message.Response | None = None
         try:
             with trio.move_on_after(timeout_s) as scope:
-                answer = await self._send_call(state, server, call)
+                response = await self._send_call(state, server, call)
             if scope.cancelled_caught:
                 state.sent += 1
                 state.tried.add(server.id)
@@ -243,7 +243,7 @@
                 state.sent += 1
                 state.tried.add(server.id)
             else:
-                state.full.add(server.id)
+                state.unavailable.add(server.id)
                 state.reason = ""
             server.record_failure(self.clock.monotonic())
             events.log(
@@ -255,7 +255,7 @@
             )
         finally:
             server.in_flight -= 1
-        return answer
+        return response
 
     def _attempt_timeout_s(self, state: callstate.CallState) -> float:
         if state.sent + 1 >= state.route.max_attempts:
@@ -299,19 +299,19 @@
             return await self._open_stream(state, server, call)
         stack = contextlib.AsyncExitStack()
         async with contextlib.AsyncExitStack() as opening:
-            answer = await opening.enter_async_context(
+            server_response = await opening.enter_async_context(
                 self.client.run(server, call, CONNECT_TIMEOUT_S)
             )
-            if self._was_rejected(state, server, answer):
+            if self._was_rejected(state, server, server_response):
                 return None
             response = message.Response(
-                answer.status,
-                answer.headers,
-                chunks=answer.body,
-                signature=answer.signature,
+                server_response.status,
+                server_response.headers,
+                chunks=server_response.body,
+                signature=server_response.signature,
             )
             is_whole = await response.read_at_most(MAX_BUFFERED_BYTES)
-            self._check_signature(answer)
+            self._check_signature(server_response)
             if not is_whole:
                 stack = opening.pop_all()
         state.sent += 1
@@ -319,7 +319,11 @@
         self._record_success(state, server, started_at)
         if not is_whole:
             response.chunks = responsestream.stream_body(
-                stack, response.body, answer, state.deadline, self.clock
+                stack,
+                response.body,
+                server_response,
+                state.deadline,
+                self.clock,
             )
         return response
 
@@ -327,22 +331,24 @@
         self,
         state: callstate.CallState,
         server: registry.Server,
-        answer: serverclient.ServerResponse,
+        server_response: serverclient.ServerResponse,
     ) -> bool:
         now = self.clock.monotonic()
-        if answer.load is not None:
-            server.update_load(answer.load, now)
-        if not answer.not_executed:
+        if server_response.load is not None:
+            server.update_load(server_response.load, now)
+        if not server_response.not_executed:
             return False
-        state.full.add(server.id)
-        if answer.wrong_server:
+        state.unavailable.add(server.id)
+        if server_response.wrong_server:
             server.record_failure(now)
         return True
 
-    def _check_signature(self, answer: serverclient.ServerResponse) -> None:
-        if not answer.signature:
+    def _check_signature(
+        self, server_response: serverclient.ServerResponse
+    ) -> None:
+        if not server_response.signature:
             raise serverclient.ServerError(
-                f"expected a signed response, got unsigned {answer.status}",
+                f"expected a signature, status is {server_response.status}",
                 True,
             )
 
@@ -382,12 +388,12 @@
         """Returns a response whose events are streamed as they arrive."""
         stack = contextlib.AsyncExitStack()
         async with contextlib.AsyncExitStack() as opening:
-            answer = await opening.enter_async_context(
+            server_response = await opening.enter_async_context(
                 self.client.run(server, call, CONNECT_TIMEOUT_S)
             )
-            if self._was_rejected(state, server, answer):
+            if self._was_rejected(state, server, server_response):
                 return None
-            self._check_signature(answer)
+            self._check_signature(server_response)
             stack = opening.pop_all()
         state.sent += 1
         state.tried.add(server.id)
@@ -395,9 +401,11 @@
             self.usage.count_started(state.organisation.name)
         until = state.deadline + responsestream.STREAM_MARGIN_S
         pieces = responsestream.stream_body(
-            stack, b"", answer, until, self.clock
+            stack, b"", server_response, until, self.clock
+        )
+        return message.Response(
+            server_response.status, server_response.headers, chunks=pieces
         )
-        return message.Response(answer.status, answer.headers, chunks=pieces)
 
     def _make_error(
         self,
@@ -435,7 +443,7 @@
             code=code.number,
             sent=state.sent,
             tried=sorted(state.tried),
-            full=sorted(state.full),
+            full=sorted(state.unavailable),
             reason=state.reason,
             left_s=round(left_s, 3),
         )
