--- a/src/kingcupscale/node.py
+++ b/src/kingcupscale/node.py
@@ -22,7 +22,7 @@
 from kingcupscale.duties import candidates
 from kingcupscale.duties import journal
 from kingcupscale.duties import lease
-from kingcupscale.duties import orders
+from kingcupscale.duties import ordersender
 from kingcupscale.duties import runner
 from kingcupscale.operating import api
 from kingcupscale.operating import handover
@@ -47,8 +47,8 @@
 from kingcupscale.serving import plain
 from kingcupscale.serving import services
 from kingcupscale.serving import sessions
-from kingcupscale.usage import copying
 from kingcupscale.usage import counter
+from kingcupscale.usage import counterreplication
 from kingcupscale.usage import reporting
 from kingcupscale.web import httpclient
 
@@ -176,7 +176,7 @@
             metrics.make_client(self.settings.statsd)
         )
         self.counters = counter.Counters(name)
-        self.copier = copying.Copier(
+        self.counter_replicator = counterreplication.CounterReplicator(
             self.counters,
             self.members,
             self.surroundings.peers,
@@ -239,7 +239,7 @@
             nursery.start_soon(self.gossip.run)
             nursery.start_soon(self.pools.run)
             nursery.start_soon(self.rollouts.run)
-            nursery.start_soon(self.copier.run)
+            nursery.start_soon(self.counter_replicator.run)
             nursery.start_soon(self._run_configured, nursery)
             await self.drain_asked.wait()
             await self._drain()
@@ -271,20 +271,27 @@
 
     def _start_zone_duty(self, zone: str, nursery: trio.Nursery) -> None:
         held = self._start_lease(f"zone/{zone}", zone, nursery)
-        desk = orders.OrderDesk(held, journal.Journal(self.store, held))
+        order_sender = ordersender.OrderSender(
+            held, journal.Journal(self.store, held)
+        )
         weights = activation.Activation(
             zone,
             self.pools,
             self.publications,
             self.surroundings.http_client,
-            desk,
+            order_sender,
             self.clock,
             self.settings.timings.order_timeout_s,
         )
         servers = ordering.Ordering(
-            zone, self.pools, self.provider, self.editor, desk, self.clock
+            zone,
+            self.pools,
+            self.provider,
+            self.editor,
+            order_sender,
+            self.clock,
         )
-        duty = zones.ZoneDuty(desk, weights, servers)
+        duty = zones.ZoneDuty(order_sender, weights, servers)
         nursery.start_soon(
             runner.DutyRunner(held, duty, self.clock, ZONE_TICK_S).run
         )
@@ -297,7 +304,7 @@
             held,
             self.store,
             self.intake,
-            self.copier,
+            self.counter_replicator,
             self.clock,
             self.settings.timings.usage_window_s,
         )
@@ -324,7 +331,7 @@
         rule: Callable[[], bool] = functools.partial(
             candidates.is_candidate, name, self.members, zone
         )
-        nursery.start_soon(lease.LeaseKeeper(held, rule, self.clock).run)
+        nursery.start_soon(lease.LeaseManager(held, rule, self.clock).run)
         return held
 
     async def _drain(self) -> None:
@@ -339,7 +346,7 @@
             while self.entry.active or self.sessions.open_sessions:
                 await self.clock.sleep(DRAIN_POLL_S)
         await self._release_leases()
-        await self.copier.copy_once(own_only=False)
+        await self.counter_replicator.replicate(own_only=False)
         await self.gossip.leave()
         events.log(events.Event.NODE_STOPPED, node=self.settings.name)
 
