--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -293,8 +293,8 @@
     Break(
         "no text is made by weights that are too old",
         "batches/placement.py",
-        "return is_open and version >= batch.minimum_version",
-        "return is_open",
+        "return accepts_samples and version >= batch.minimum_version",
+        "return accepts_samples",
         SITE + "test_versions",
     ),
     Break(
--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -30,17 +30,19 @@
 from kingcupscale.peering import replication
 from kingcupscale.storage import view as views
 
-# Longest pause of the run loop while samples are open, and otherwise. New
-# batches wake the loop; the pause limits the delay of changes that do not.
+# Longest pause of the run loop while batches run on this node, and while none
+# does. New batches wake the loop; the pause limits the delay of changes that
+# do not.
 TICK_S = 0.05
 IDLE_TICK_S = 0.5
 # Pause before a sample runs again after an unexpected internal error.
 ERROR_PAUSE_S = 0.8
-# A copied text replaces a sample's text if it has more than this many events
-# more.
+# A copied text replaces a sample's text only if it is longer by more than this
+# many events.
 MIN_COPY_LEAD_EVENTS = 8
 # Upper limit of the partial texts and of the copied results that are kept for
 # items that this node may run later, and of the groups whose engines are kept.
+# Texts of ended batches are kept too: another batch may have the same items.
 MAX_KEPT_ITEMS = 2000
 
 
@@ -133,9 +135,10 @@
         )
 
     def unsaved_samples(self, model: str) -> list[samples.Sample]:
-        """Returns a model's samples whose progress only this node has.
+        """Returns a model's samples whose progress is not in the store.
 
-        They have a text or a result, but no result in the store.
+        They have a text or a result on this node, but no result in the store,
+        so their progress is lost with this node unless another one has a copy.
         """
         return [
             sample
@@ -146,7 +149,10 @@
         ]
 
     def _samples_to_write(self) -> list[samples.Sample]:
-        """Returns samples that may have a result that is not yet written."""
+        """Returns the samples whose results may still have to be written.
+
+        Forgets released samples that no longer need it.
+        """
         self.released_samples = [
             sample
             for sample in self.released_samples
@@ -250,8 +256,9 @@
     def _update_records(self) -> None:
         """Replaces the records of batches that the cache has loaded again.
 
-        The cache may evict a batch that runs here until its interest in the
-        batch's model is set. After that, only the new record is updated.
+        The cache may evict a batch that runs here, until the cache's interest
+        includes the batch's model. If it loads the batch again, it updates only
+        the new record. A batch that ended while evicted is marked as ended.
         """
         for batch_id, progress in self.progress.items():
             cached = self.batch_cache.records.get(batch_id)
@@ -267,7 +274,7 @@
             sample.record = cached or sample.record
 
     def _release_batch(self, progress: Progress) -> None:
-        """Stops running a batch and keeps its texts and results."""
+        """Stops running a batch; keeps its texts, and results if it is open."""
         del self.progress[progress.record.batch.id]
         for sample in progress.samples.values():
             sample.scope.cancel()
@@ -330,7 +337,7 @@
     def _find_route(
         self, configured: catalogue.Catalogue, record: records.Record
     ) -> catalogue.Route | None:
-        """Returns a batch's route; None if it leads to another service."""
+        """Returns a batch's route; None if it doesn't lead to this service."""
         for item in record.batch.items[:1]:
             route = configured.find_route(record.batch.host, item.path)
             names = [share.service for share in route.shares] if route else []
--- a/src/kingcupscale/batches/generation.py
+++ b/src/kingcupscale/batches/generation.py
@@ -1,4 +1,8 @@
-"""Runs samples on engines, one request at a time, and measures their speed."""
+"""Runs samples on engines and measures the engines' speed.
+
+A run is one request. It generates a sample's text or resumes it after the
+events that are already known.
+"""
 
 from collections.abc import AsyncIterator
 from collections.abc import Callable
@@ -21,22 +25,24 @@
 # Time limit of the response headers. An engine sends them with the first
 # token, which may have to wait for a slot and for weights that are loading.
 HEADER_TIMEOUT_S = 5.0
-# A run is ended if its engine sends nothing for this long. An engine that is
-# loading weights gets more time, because its runs wait meanwhile.
+# A run ends if its engine sends no event for this long, so that the sample can
+# run on another engine. An engine that is loading weights gets more time,
+# because its runs wait meanwhile.
 IDLE_TIMEOUT_S = 0.8
 LOADING_IDLE_TIMEOUT_S = 3.0
 # The idle timeout of a sample doubles with each one that it has met, up to
 # this, so that engines which are slow but healthy can finish it.
 MAX_IDLE_TIMEOUT_S = 10.0
-# A value of the store has to hold a result together with other results.
+# Upper limit of the size of a text. A value of the store has to hold a result
+# together with other results.
 MAX_TEXT_BYTES = 512 * 1024
 # Tokens per event that are assumed until a run has been measured.
 DEFAULT_EVENT_TOKENS = 30.0
-# Pause before an engine that rejected an item of a model gets another one.
+# Pause before an engine that rejected an item gets another one of that model.
 REJECTED_PAUSE_S = 0.1
 # Pause before an item is sent again after a failed run.
 FAILED_PAUSE_S = 0.1
-# Pause before an item is sent again whose request the send guard blocked.
+# Pause before an item is sent again after the send guard blocked its request.
 BLOCKED_PAUSE_S = 0.1
 # Weight of the latest run in the moving averages of the speed.
 AVERAGE_WEIGHT = 0.1
@@ -202,7 +208,11 @@
     def _handle_failure(
         self, sample: samples.Sample, response: serverclient.ServerResponse
     ) -> None:
-        """Counts a failure of the engine and fails a sample with too many."""
+        """Postpones a sample after a failure; fails it after too many.
+
+        Only failures that the engine itself reports count: status 500 with a
+        signature.
+        """
         self._postpone(sample, FAILED_PAUSE_S)
         if response.status == 500 and response.signature:
             sample.failures += 1
@@ -252,7 +262,7 @@
     def _idle_timeout_s(
         self, sample: samples.Sample, server: registry.Server
     ) -> float:
-        """Returns how long an engine may send nothing."""
+        """Returns how long an engine may send no event."""
         is_loading = server.loading_until > self.clock.monotonic()
         base_s = LOADING_IDLE_TIMEOUT_S if is_loading else IDLE_TIMEOUT_S
         return min(MAX_IDLE_TIMEOUT_S, base_s * 2**sample.idle_timeouts)
--- a/src/kingcupscale/batches/loader.py
+++ b/src/kingcupscale/batches/loader.py
@@ -36,13 +36,14 @@
 
 
 @attrs.define
-class PendingLoad:
-    """An order that is in progress.
+class PendingOrder:
+    """A load order that is in progress.
 
     Attributes:
         load: What was ordered.
         ordered_at: Monotonic time of the order.
-        start_ms: The start of the engine that got it, to recognise a restart.
+        start_ms: Start time of the engine that got the order; another value
+            means that the engine has restarted.
     """
 
     load: weights.Load
@@ -51,7 +52,7 @@
 
 
 class Loader:
-    """Loads the versions that trainers have published on a service's engines.
+    """Makes a service's engines load the versions that trainers publish.
 
     Args:
         duty_lock: Lock on the duty of giving orders to the service's engines.
@@ -80,7 +81,7 @@
         self.target_versions = target_versions
         self.clock = clock
         self.current_catalogue = current_catalogue
-        self.loading: dict[str, PendingLoad] = {}
+        self.loading: dict[str, PendingOrder] = {}
         self.not_before: dict[str, float] = {}
         self.load_s = DEFAULT_LOAD_S
         self.assigned: dict[str, set[str]] = {}
@@ -105,7 +106,7 @@
             set(self.loading),
         )
         for load in due:
-            self.loading[load.server.id] = PendingLoad(
+            self.loading[load.server.id] = PendingOrder(
                 load, now, load.server.entry.start_ms
             )
             nursery.start_soon(self._load, load)
--- a/src/kingcupscale/batches/placement.py
+++ b/src/kingcupscale/batches/placement.py
@@ -1,8 +1,8 @@
 """Placement of waiting samples on engines.
 
-Decides which sample runs next and on which engine. When several trainers
-submit batches at once, a step is useful only once its groups are complete, so
-its longest samples set its duration, and their duration depends on the engine
+Decides which sample runs next and on which engine when several trainers submit
+batches at once. A step is useful only once its groups are complete, so its
+longest samples set its duration, and their duration depends on the engines
 they get. The sample with the least slack is therefore placed first, on the
 engine that is expected to finish it first.
 """
@@ -22,7 +22,8 @@
 # Advantage of an engine whose prefix cache holds the group's prompt, expressed
 # as a number of other requests.
 CACHED_PROMPT_BONUS = 0.4
-# Seconds of slack added for each step that the route's priority is lower.
+# Seconds of slack that are added for each unit of the route's priority, of
+# which 0 is the most urgent.
 SLACK_PER_PRIORITY_S = 0.3
 
 
@@ -37,6 +38,9 @@
 def slack_s(waiting: sample.Sample, now_ms: int, token_s: float) -> float:
     """Returns how long a sample can wait and still meet its due time.
 
+    A less urgent route adds to the slack. The expected duration is subtracted
+    only for a sample that has no text yet.
+
     Args:
         waiting: The sample.
         now_ms: Unix time in milliseconds.
@@ -54,12 +58,13 @@
 ) -> bool:
     """Tells whether an engine has a weight version that a sample accepts.
 
-    An engine that is loading weights for the sample's model can't run it.
+    An engine that is loading weights for the sample's model, or has just
+    rejected a sample of that model, can't run it.
     """
     batch = waiting.record.batch
     version = server.versions.get(batch.model, 0)
-    is_open = server.no_samples_until.get(batch.model, 0.0) <= now
-    return is_open and version >= batch.minimum_version
+    accepts_samples = server.no_samples_until.get(batch.model, 0.0) <= now
+    return accepts_samples and version >= batch.minimum_version
 
 
 def completion_cost(
--- a/src/kingcupscale/batches/sample.py
+++ b/src/kingcupscale/batches/sample.py
@@ -48,8 +48,8 @@
         moves: How often it has moved to another engine.
         event_times: Monotonic times of the latest events of its current run.
         run_events: Number of events of its current run.
-        idle_timeouts: Number of runs that ended because the engine sent
-            nothing for too long.
+        idle_timeouts: Number of runs that ended because the engine sent no
+            event for too long.
     """
 
     item: batch.Item
--- a/src/kingcupscale/batches/weights.py
+++ b/src/kingcupscale/batches/weights.py
@@ -46,9 +46,9 @@
 ) -> dict[str, set[str]]:
     """Returns the ids of the engines of each model.
 
-    Changes few assignments. A node that has just taken over the duty has no
-    current assignments; engines whose weights are recent enough are preferred
-    then, so that few engines have to load.
+    Changes few assignments. A node that has just taken over the duty lock has
+    no current assignments; it prefers engines whose weights are recent enough,
+    so that few engines have to load.
 
     Args:
         servers: Engines that accept work.
@@ -128,7 +128,10 @@
 def _engines_to_load(
     holders: list[registry.Server], model: str, newest: int, allowed_lag: int
 ) -> list[registry.Server]:
-    """Returns the engines to load the newest version, the oldest first."""
+    """Returns the engines that should load the newest version.
+
+    Those with the oldest versions come first.
+    """
     oldest = newest - allowed_lag
     by_version = sorted(
         holders, key=lambda s: (s.versions[model], s.in_flight, s.id)
@@ -147,7 +150,7 @@
     targets: dict[str, int],
     loading: set[str],
 ) -> list[Load]:
-    """Returns loads of every version on every engine.
+    """Returns loads that bring all engines to the newest version of all models.
 
     It is the baseline that tests compare ``choose_loads`` with.
     """
--- a/tests/batches/test_decisions.py
+++ b/tests/batches/test_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions about placement, moves, weight loads, fleet size and refusals.
+"""Decisions about placement, moves, weight loads, fleet size and retry delays.
 
 Each is tested with the load pattern that it is made for.
 """
@@ -121,10 +121,10 @@
         ]
     )
     def test_engine_can_run(
-        self, _, versions, minimum, loading_until, expected
+        self, _, versions, minimum, no_samples_until, expected
     ):
         server = make_server("e", versions=versions)
-        server.no_samples_until["m"] = loading_until
+        server.no_samples_until["m"] = no_samples_until
         waiting = make_sample("s", minimum=minimum)
         self.assertEqual(placement.can_run(waiting, server, 5.0), expected)
 
--- a/tests/platform/test_ended.py
+++ b/tests/platform/test_ended.py
@@ -23,7 +23,7 @@
 
 
 def _isolate(site, node):
-    """Disconnects a node from the store and the other nodes only."""
+    """Disconnects a node from the store and other nodes, not from servers."""
     for other in ("store", *(n.name for n in site.nodes if n is not node)):
         site.network.cut(node.name, other)
 
--- a/tests/platform/test_versions.py
+++ b/tests/platform/test_versions.py
@@ -21,8 +21,8 @@
             )
             text = replication.TextUpdate("b1-i0", [], old, "b0")
             for node in site.nodes:
-                duty = node.runtime.services["engines"]
-                duty.coordinator.apply_copy(
+                service = node.runtime.services["engines"]
+                service.coordinator.apply_copy(
                     replication.ReplicationRequest("engines", [text])
                 )
             await site.submit(site.nodes[0], "b1", minimum=2)
