--- a/src/kingcupscale/storage/mirror.py
+++ b/src/kingcupscale/storage/mirror.py
@@ -227,35 +227,35 @@
         requested_at = self.clock.monotonic()
         self.is_loading = True
         try:
-            first, found = await self._scan_all()
+            first_revision, seen_keys = await self._scan_all()
         finally:
             self.is_loading = False
         # The pages are not one snapshot: keys may change between two of them.
         # The watch starts at the first page's revision and repeats those
         # changes.
-        for key in [key for key in self.entries if key not in found]:
-            is_older = self.entries[key].revision <= first
+        for key in [key for key in self.entries if key not in seen_keys]:
+            is_older = self.entries[key].revision <= first_revision
             if is_older and not self._is_excluded(key):
-                self.apply(stores.Entry(key, None, first))
-        self.revision = first
+                self.apply(stores.Entry(key, None, first_revision))
+        self.revision = first_revision
         # Changes between the pages are already applied, so the watch that
         # repeats them does not add them to the log. The log is complete only
         # after the newest of them.
         newest = max((e.revision for e in self.entries.values()), default=0)
-        self.log.restart(max(first, newest))
+        self.log.restart(max(first_revision, newest))
         self._note_current(requested_at)
 
     async def _scan_all(self) -> tuple[int, set[str]]:
         """Scans all keys; returns the first page's revision and the keys."""
         requested_at = self.clock.monotonic()
-        found: set[str] = set()
-        first = await self._scan("", found)
+        seen_keys: set[str] = set()
+        first_revision = await self._scan("", seen_keys)
         self.essential_at = requested_at
         if self.deferred_prefix:
-            await self._scan(self.deferred_prefix, found)
-        return first, found
+            await self._scan(self.deferred_prefix, seen_keys)
+        return first_revision, seen_keys
 
-    async def _scan(self, prefix: str, found: set[str]) -> int:
+    async def _scan(self, prefix: str, seen_keys: set[str]) -> int:
         """Reads the keys under a prefix; returns the first page's revision.
 
         Skips the excluded and the deferred prefix, unless it is the prefix
@@ -263,13 +263,13 @@
 
         Args:
             prefix: Prefix of the keys; empty for all.
-            found: Receives the keys that were read.
+            seen_keys: Receives the keys that were read.
         """
-        first = 0
+        first_revision = 0
         after, has_more = "", True
         while has_more:
             page = await self.store.scan(prefix, after)
-            first = first or page.revision
+            first_revision = first_revision or page.revision
             has_more = page.has_more
             for entry in page.entries:
                 skipped = self._skipped_prefix(entry.key, prefix)
@@ -277,9 +277,9 @@
                     after, has_more = _key_after_prefix(skipped), True
                     break
                 after = entry.key
-                found.add(entry.key)
+                seen_keys.add(entry.key)
                 self.apply(entry)
-        return first
+        return first_revision
 
     def _skipped_prefix(self, key: str, prefix: str) -> str:
         """Returns the prefix to skip that contains a key; empty for none."""
