--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -57,14 +57,14 @@
     ),
     breaks.Break(
         "no backend server sees a key",
-        "serving/plain.py",
+        "serving/plainservices.py",
         'FORWARDED_HEADERS = ("accept", "accept-language", "content-type")',
         'FORWARDED_HEADERS = ("accept", "authorization", "content-type")',
         "tests.test_breaks.KeyTest.test_key_dropped_at_the_entry_stays_dropped",
     ),
     breaks.Break(
         "no backend server sees a key",
-        "serving/entry.py",
+        "serving/callerapi.py",
         "_check_exposure(request, text)\n        return grant",
         "return grant",
         "tests.test_serving.RefusalTest",
@@ -140,21 +140,21 @@
     ),
     breaks.Break(
         "whole answer to its own request",
-        "serving/plain.py",
+        "serving/plainservices.py",
         "if response.headers.get(REQUEST_ID_HEADER) != expected:",
         "if False:",
         "tests.test_serving.PlainCallTest.test_non_idempotent_call_runs_once",
     ),
     breaks.Break(
         "a refusal that says not run is true",
-        "serving/plain.py",
+        "serving/plainservices.py",
         "raise _unknown(e.reason) from e",
         "raise errors.ServiceError(errors.ResultCode.BACKEND_FAILED) from e",
         "tests.test_serving.PlainCallTest.test_non_idempotent_call_runs_once",
     ),
     breaks.Break(
         "a non-idempotent request runs at most once",
-        "serving/plain.py",
+        "serving/plainservices.py",
         "if e.may_have_been_sent and not is_idempotent:",
         "if False:",
         "tests.test_serving.PlainCallTest.test_non_idempotent_call_runs_once",
@@ -178,7 +178,7 @@
     breaks.Break(
         "a planned stop cuts no request",
         "node.py",
-        "while self.entry.active or self.sessions.open_sessions:",
+        "while self.caller_api.active or self.sessions.open_sessions:",
         "while False:",
         "tests.test_serving.PlannedStopTest"
         ".test_drain_cuts_no_request_and_loses_no_usage",
--- a/src/kingcupscale/daemon.py
+++ b/src/kingcupscale/daemon.py
@@ -96,7 +96,7 @@
         async with trio.open_nursery() as nursery:
             callers = await nursery.start(
                 server.serve,
-                node.entry,
+                node.caller_api,
                 listeners.callers,
                 get_limits,
                 node.stopped.wait,
--- a/src/kingcupscale/fakes/callers.py
+++ b/src/kingcupscale/fakes/callers.py
@@ -18,7 +18,7 @@
 from kingcupscale.operating import messages as operating
 from kingcupscale.rollouts import messages
 from kingcupscale.rollouts import trainer as trainers
-from kingcupscale.serving import plain
+from kingcupscale.serving import plainservices
 from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
@@ -113,7 +113,7 @@
         self.record.once.add(digest)
         headers = {**self._headers(), "content-type": "application/json"}
         if idempotency_key:
-            headers[plain.IDEMPOTENCY_HEADER] = idempotency_key
+            headers[plainservices.IDEMPOTENCY_HEADER] = idempotency_key
         path = f"/services/{tables.PLAIN_SERVICE}/quotes"
         request = message.Request("POST", path, "", headers, body)
 
--- a/src/kingcupscale/fakes/cluster.py
+++ b/src/kingcupscale/fakes/cluster.py
@@ -210,7 +210,7 @@
         node = nodes.Node(self._make_settings(name), surroundings, service)
         self.nodes[name] = RunningNode(node, scope)
         self.network.add(name, scope.cancel)
-        self._serve(name, "callers", node.entry)
+        self._serve(name, "callers", node.caller_api)
         self._serve(name, "operators", node.operators)
         self.network.serve_peers(name, f"{name}:peers", service)
         self.nursery.start_soon(_run_in, scope, node)
--- a/src/kingcupscale/node.py
+++ b/src/kingcupscale/node.py
@@ -40,11 +40,11 @@
 from kingcupscale.rollouts import activation
 from kingcupscale.rollouts import publication
 from kingcupscale.rollouts import service as rollouts
+from kingcupscale.serving import callerapi
 from kingcupscale.serving import claims
 from kingcupscale.serving import completion
-from kingcupscale.serving import entry
 from kingcupscale.serving import generation
-from kingcupscale.serving import plain
+from kingcupscale.serving import plainservices
 from kingcupscale.serving import services
 from kingcupscale.serving import sessions
 from kingcupscale.usage import counter
@@ -191,7 +191,7 @@
         generator = generation.Generator(
             self.pools, http_client, self.counters, self.metrics
         )
-        plain_caller = plain.PlainCaller(
+        plain_service_client = plainservices.PlainServiceClient(
             self.pools,
             http_client,
             claims.Claims(self.store, name),
@@ -202,7 +202,7 @@
         self.rollouts = rollouts.RolloutService(
             self.replica,
             generator,
-            plain_caller,
+            plain_service_client,
             self.publications,
             weightstore.HttpWeightStore(
                 http_client, self.settings.platform.weights
@@ -210,14 +210,14 @@
             self.metrics,
             self.clock,
         )
-        self.entry = entry.Entry(
+        self.caller_api = callerapi.CallerApi(
             key_ring,
             self.admission,
             self.sessions,
             completion.Completions(
                 generator, self.sessions, self.clock, self.metrics
             ),
-            plain_caller,
+            plain_service_client,
             self.rollouts,
         )
 
@@ -338,12 +338,12 @@
         """Ends everything in order: announce, finish, hand over, leave."""
         timings = self.settings.timings
         events.log(events.Event.NODE_DRAINING, node=self.settings.name)
-        self.entry.is_leaving = True
+        self.caller_api.is_leaving = True
         await self.clock.sleep(timings.drain_notice_s)
-        self.entry.is_draining = True
+        self.caller_api.is_draining = True
         self.rollouts.cancel_all()
         with trio.move_on_after(timings.drain_limit_s):
-            while self.entry.active or self.sessions.open_sessions:
+            while self.caller_api.active or self.sessions.open_sessions:
                 await self.clock.sleep(DRAIN_POLL_S)
         await self._release_leases()
         await self.counter_replicator.replicate(own_only=False)
@@ -368,11 +368,11 @@
             self.settings.name,
             self.settings.zone,
             self.incarnation,
-            self.admission.is_open() and not self.entry.is_leaving,
-            self.entry.is_leaving,
+            self.admission.is_open() and not self.caller_api.is_leaving,
+            self.caller_api.is_leaving,
             self.replica.revision,
             self.admission.confirmed_age_s(),
-            self.entry.active,
+            self.caller_api.active,
             {n: len(p.scheduler.queue) for n, p in self.pools.pools.items()},
             [
                 messages.MemberLine(
--- a/src/kingcupscale/rollouts/messages.py
+++ b/src/kingcupscale/rollouts/messages.py
@@ -3,7 +3,7 @@
 import attrs
 
 from kingcupscale import codec
-from kingcupscale.rollouts import received as ranges
+from kingcupscale.rollouts import ranges as group_ranges
 
 STEPS_PATH = "/v1/rollouts/steps"
 FETCH_PATH = "/v1/rollouts/fetch"
@@ -55,7 +55,7 @@
     """
 
     specification: StepSpecification
-    received: ranges.Ranges = attrs.field(factory=list)
+    received: group_ranges.Ranges = attrs.field(factory=list)
 
 
 @attrs.frozen
@@ -72,7 +72,7 @@
 
     step: codec.NaturalInt
     version: codec.NaturalInt
-    received: ranges.Ranges
+    received: group_ranges.Ranges
     limit: codec.PositiveInt = codec.PositiveInt(32)
     wait_s: float = 10.0
 
--- a/src/kingcupscale/rollouts/scoring.py
+++ b/src/kingcupscale/rollouts/scoring.py
@@ -9,7 +9,7 @@
 from kingcupscale import errors
 from kingcupscale.configuration import keys
 from kingcupscale.rollouts import messages
-from kingcupscale.serving import plain
+from kingcupscale.serving import plainservices
 from kingcupscale.web import message
 
 PATH = "/score"
@@ -48,7 +48,10 @@
     """
 
     def __init__(
-        self, caller: plain.PlainCaller, service: str, grant: keys.Grant
+        self,
+        caller: plainservices.PlainServiceClient,
+        service: str,
+        grant: keys.Grant,
     ) -> None:
         self.caller = caller
         self.service = service
@@ -63,7 +66,7 @@
         request = message.json_request(
             PATH, ScoreRequest(prompt, " ".join(sample.tokens))
         )
-        call = plain.Call(self.service, PATH, request, self.grant)
+        call = plainservices.Call(self.service, PATH, request, self.grant)
         response = await self.caller.call(call)
         try:
             return codec.decode(ScoreAnswer, response.body).score
--- a/src/kingcupscale/rollouts/service.py
+++ b/src/kingcupscale/rollouts/service.py
@@ -20,7 +20,7 @@
 from kingcupscale.rollouts import staleness
 from kingcupscale.rollouts import step as steps
 from kingcupscale.serving import generation
-from kingcupscale.serving import plain
+from kingcupscale.serving import plainservices
 from kingcupscale.web import message
 
 STEPS_PER_TRAINER = 4
@@ -34,7 +34,7 @@
     Args:
         replica: The node's configuration.
         generator: Runs jobs on engines.
-        plain_caller: Reaches scoring services.
+        plain_service_client: Reaches scoring services.
         publications: Publishes weight versions.
         weights: Tells which versions there are.
         metrics: Histograms.
@@ -45,7 +45,7 @@
         self,
         replica: replicas.Replica,
         generator: generation.Generator,
-        plain_caller: plain.PlainCaller,
+        plain_service_client: plainservices.PlainServiceClient,
         publications: publication.Publications,
         weights: weightstore.WeightStore,
         metrics: metric.Metrics,
@@ -53,7 +53,7 @@
     ) -> None:
         self.replica = replica
         self.generator = generator
-        self.plain_caller = plain_caller
+        self.plain_service_client = plain_service_client
         self.publications = publications
         self.weights = weights
         self.metrics = metrics
@@ -126,7 +126,7 @@
                 retry_after_s=1,
             )
         step = steps.Step(specification, self._make_context(grant))
-        step.note_received(body.received)
+        step.mark_received(body.received)
         self.steps[grant.trainer, specification.step] = step
         events.log(
             events.Event.STEP_OPENED,
@@ -160,7 +160,7 @@
                 grant, service_class=trainer.service_class
             )
             scorer = scoring.ServiceScorer(
-                self.plain_caller, trainer.scorer, scorer_grant
+                self.plain_service_client, trainer.scorer, scorer_grant
             )
         return steps.StepContext(
             grant.trainer,
--- a/src/kingcupscale/rollouts/step.py
+++ b/src/kingcupscale/rollouts/step.py
@@ -11,7 +11,7 @@
 from kingcupscale import hashing
 from kingcupscale import metrics as metric
 from kingcupscale.rollouts import messages
-from kingcupscale.rollouts import received
+from kingcupscale.rollouts import ranges
 from kingcupscale.rollouts import scoring
 from kingcupscale.rollouts import staleness
 from kingcupscale.serving import generation
@@ -83,9 +83,9 @@
         self.nursery: trio.Nursery | None = None
         self.fetched_at = context.clock.monotonic()
 
-    def note_received(self, ranges: received.Ranges) -> None:
+    def mark_received(self, received: ranges.Ranges) -> None:
         """Takes over which groups the trainer has."""
-        self.done |= received.from_ranges(ranges, self.groups)
+        self.done |= ranges.from_ranges(received, self.groups)
         for group in self.done & self.ready.keys():
             del self.ready[group]
         if len(self.done) == len(self.groups):
@@ -192,7 +192,7 @@
         """
         self.fetched_at = self.context.clock.monotonic()
         self.version = max(self.version, request.version)
-        self.note_received(request.received)
+        self.mark_received(request.received)
         with trio.move_on_after(min(request.wait_s, FETCH_WAIT_LONGEST_S)):
             while self.remaining() and not self._take_fresh(1):
                 await self._wait_for_change()
--- a/src/kingcupscale/rollouts/trainer.py
+++ b/src/kingcupscale/rollouts/trainer.py
@@ -10,7 +10,7 @@
 from kingcupscale import codec
 from kingcupscale import errors
 from kingcupscale.rollouts import messages
-from kingcupscale.rollouts import received
+from kingcupscale.rollouts import ranges
 from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
@@ -117,7 +117,7 @@
     async def _open(
         self, specification: messages.StepSpecification, has: set[int]
     ) -> None:
-        body = messages.OpenRequest(specification, received.to_ranges(has))
+        body = messages.OpenRequest(specification, ranges.to_ranges(has))
         await self._post_until_answered(messages.STEPS_PATH, body)
 
     async def _fetch(
@@ -127,7 +127,7 @@
         body = messages.FetchRequest(
             specification.step,
             codec.NaturalInt(max(self.version, specification.version)),
-            received.to_ranges(has),
+            ranges.to_ranges(has),
             wait_s=FETCH_WAIT_S,
         )
         try:
--- a/src/kingcupscale/serving/entry.py
+++ b/src/kingcupscale/serving/callerapi.py
@@ -8,7 +8,7 @@
 from kingcupscale.configuration import document
 from kingcupscale.configuration import keys
 from kingcupscale.serving import completion
-from kingcupscale.serving import plain
+from kingcupscale.serving import plainservices
 from kingcupscale.serving import sessions
 from kingcupscale.web import httprouter
 from kingcupscale.web import message
@@ -29,7 +29,7 @@
         ...
 
 
-class Entry:
+class CallerApi:
     """Answers callers.
 
     The caller's key is checked here and goes no further.
@@ -39,7 +39,7 @@
         admission: Whether the node may admit.
         open_sessions: Counts and ends requests.
         completions: Serves engines.
-        plain_caller: Serves plain services.
+        plain_service_client: Serves plain services.
         rollouts: Serves trainers.
 
     Attributes:
@@ -54,14 +54,14 @@
         admission: admissions.Admission,
         open_sessions: sessions.Sessions,
         completions: completion.Completions,
-        plain_caller: plain.PlainCaller,
+        plain_service_client: plainservices.PlainServiceClient,
         rollouts: RolloutHandler,
     ) -> None:
         self.key_ring = key_ring
         self.admission = admission
         self.sessions = open_sessions
         self.completions = completions
-        self.plain_caller = plain_caller
+        self.plain_service_client = plain_service_client
         self.rollouts = rollouts
         self.is_leaving = False
         self.is_draining = False
@@ -178,9 +178,9 @@
         self, request: message.Request, prefix: str, grant: keys.Grant
     ) -> message.Response:
         service, slash, path = request.path.removeprefix(prefix).partition("/")
-        call = plain.Call(service, slash + path or "/", request, grant)
+        call = plainservices.Call(service, slash + path or "/", request, grant)
         with self.sessions.open(grant) as session:
-            return await session.run(self.plain_caller.call, call)
+            return await session.run(self.plain_service_client.call, call)
 
 
 def _check_exposure(request: message.Request, text: str) -> None:
--- a/src/kingcupscale/serving/plain.py
+++ b/src/kingcupscale/serving/plainservices.py
@@ -47,7 +47,7 @@
     grant: keys.Grant
 
 
-class PlainCaller:
+class PlainServiceClient:
     """Carries callers' requests to plain services.
 
     A call goes out again only when it is idempotent or nothing of it left.
--- a/tests/test_breaks.py
+++ b/tests/test_breaks.py
@@ -10,7 +10,7 @@
 from kingcupscale.providers import engine
 from kingcupscale.rollouts import messages
 from kingcupscale.rollouts import trainer as trainers
-from kingcupscale.serving import plain
+from kingcupscale.serving import plainservices
 from kingcupscale.web import message
 from tests import virtual
 
@@ -53,10 +53,10 @@
         request = message.Request(
             "POST", "/x", "", {"authorization": "Bearer kc.a.b", "cookie": "c"}
         )
-        call = plain.Call(
-            "shop", "/x", request, plain.keys.Grant("", "", "", "")
+        call = plainservices.Call(
+            "shop", "/x", request, plainservices.keys.Grant("", "", "", "")
         )
-        sent = plain._make_request(call)
+        sent = plainservices._make_request(call)
         self.assertNotIn("authorization", sent.headers)
         self.assertNotIn("cookie", sent.headers)
 
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -13,7 +13,7 @@
 from kingcupscale.fakes import judge
 from kingcupscale.fakes import virtualtime
 from kingcupscale.rollouts import messages
-from kingcupscale.rollouts import received
+from kingcupscale.rollouts import ranges as group_ranges
 from kingcupscale.rollouts import staleness
 from kingcupscale.rollouts import trainer as trainers
 from tests import virtual
@@ -32,8 +32,8 @@
     @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
     @hypothesis.given(strategies.sets(strategies.integers(0, 60)))
     def test_ranges_hold_just_the_numbers(self, numbers):
-        ranges = received.to_ranges(numbers)
-        self.assertEqual(received.from_ranges(ranges, range(70)), numbers)
+        ranges = group_ranges.to_ranges(numbers)
+        self.assertEqual(group_ranges.from_ranges(ranges, range(70)), numbers)
         gaps = [b[0] - a[1] for a, b in zip(ranges, ranges[1:], strict=False)]
         self.assertTrue(all(gap > 1 for gap in gaps))
 
