--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -26,7 +26,7 @@
     breaks.Break(
         "each sample names its versions",
         "rollouts/step.py",
-        "and last.version == piece.version",
+        "and last.version == token_chunk.version",
         "and True",
         "tests.test_rollouts.StepTest"
         ".test_sample_over_a_swap_names_both_versions",
@@ -43,7 +43,7 @@
     breaks.Break(
         "each sample is delivered once",
         "rollouts/trainer.py",
-        "if group.group in has or group.group not in wanted:",
+        "if group.group in received or group.group not in wanted:",
         "if group.group not in wanted:",
         "tests.test_breaks.TrainerTest.test_repeated_group_is_dropped",
     ),
@@ -72,7 +72,7 @@
     breaks.Break(
         "a withdrawn key stops within seconds",
         "serving/sessions.py",
-        "session.withdraw()",
+        "session.cancel()",
         "pass",
         "tests.test_configuration.ClusterTest"
         ".test_withdrawal_ends_an_open_stream",
@@ -125,7 +125,7 @@
     breaks.Break(
         "whole answer to its own request",
         "serving/generation.py",
-        "if chunk.request_id != order.request_id:",
+        "if chunk.request_id != generate_request.request_id:",
         "if False:",
         "tests.test_breaks.CrossedTest"
         ".test_piece_of_another_answer_is_not_passed_on",
@@ -148,7 +148,7 @@
     breaks.Break(
         "a refusal that says not run is true",
         "serving/plainservices.py",
-        "raise _unknown(e.reason) from e",
+        "raise _unknown_outcome(e.reason) from e",
         "raise errors.ServiceError(errors.ResultCode.BACKEND_FAILED) from e",
         "tests.test_serving.PlainCallTest.test_non_idempotent_call_runs_once",
     ),
@@ -170,8 +170,8 @@
     breaks.Break(
         "a leaving server gets no new work",
         "serving/routing.py",
-        "if not state.is_leaving and state.name not in wish.excluded",
-        "if state.name not in wish.excluded",
+        "if not state.is_leaving and state.name not in requirements.excluded",
+        "if state.name not in requirements.excluded",
         "tests.test_serving.GenerationTest"
         ".test_leaving_engine_gets_nothing_new",
     ),
--- a/src/kingcupscale/capacity/zone.py
+++ b/src/kingcupscale/capacity/zone.py
@@ -18,7 +18,7 @@
     def __init__(
         self,
         order_sender: ordersender.OrderSender,
-        weights: activation.Activation,
+        weights: activation.WeightActivator,
         servers: ordering.Ordering,
     ) -> None:
         self.order_sender = order_sender
@@ -41,7 +41,7 @@
     async def run_once(self) -> None:
         """Does one round."""
         await self._settle_open()
-        await self.weights.round()
+        await self.weights.run_once()
         await self.servers.round()
 
     async def _settle_open(self) -> None:
--- a/src/kingcupscale/fakes/service.py
+++ b/src/kingcupscale/fakes/service.py
@@ -80,7 +80,7 @@
     def _answer(
         self, request: message.Request, organisation: str, digest: str
     ) -> message.Response:
-        if request.path == scoring.PATH:
+        if request.path == scoring.SCORE_PATH:
             score = int(digest[:4], 16) / 0xFFFF
             return message.json_response(scoring.ScoreAnswer(score))
         answer = ServiceAnswer(organisation, request.path, digest)
--- a/src/kingcupscale/node.py
+++ b/src/kingcupscale/node.py
@@ -194,7 +194,7 @@
         plain_service_client = plainservices.PlainServiceClient(
             self.pools,
             http_client,
-            claims.Claims(self.store, name),
+            claims.ClaimStore(self.store, name),
             self.counters,
             self.metrics,
         )
@@ -274,7 +274,7 @@
         order_sender = ordersender.OrderSender(
             held, journal.Journal(self.store, held)
         )
-        weights = activation.Activation(
+        weights = activation.WeightActivator(
             zone,
             self.pools,
             self.publications,
@@ -338,7 +338,7 @@
         """Ends everything in order: announce, finish, hand over, leave."""
         timings = self.settings.timings
         events.log(events.Event.NODE_DRAINING, node=self.settings.name)
-        self.caller_api.is_leaving = True
+        self.caller_api.is_unready = True
         await self.clock.sleep(timings.drain_notice_s)
         self.caller_api.is_draining = True
         self.rollouts.cancel_all()
@@ -368,8 +368,8 @@
             self.settings.name,
             self.settings.zone,
             self.incarnation,
-            self.admission.is_open() and not self.caller_api.is_leaving,
-            self.caller_api.is_leaving,
+            self.admission.is_open() and not self.caller_api.is_unready,
+            self.caller_api.is_unready,
             self.replica.revision,
             self.admission.confirmed_age_s(),
             self.caller_api.active,
--- a/src/kingcupscale/rollouts/activation.py
+++ b/src/kingcupscale/rollouts/activation.py
@@ -17,17 +17,17 @@
 from kingcupscale.serving import services
 from kingcupscale.web import httpclient
 
-STAGES_AT_A_TIME = 4
-STAGE_PATIENCE_S = 60.0
+MAX_CONCURRENT_STAGINGS = 4
+STAGE_TIMEOUT_S = 60.0
 STAGE_RETRY_S = 30.0
 REFRESH_S = 30.0
 QUARANTINE_S = 10.0
-READS_AT_A_TIME = 16
+MAX_CONCURRENT_READS = 16
 ORDER_KIND = "engine"
 
 
 @attrs.frozen
-class Staging:
+class StagingOrder:
     """A version that an engine was told to read, and when."""
 
     version: int
@@ -35,7 +35,7 @@
 
 
 @attrs.define
-class EngineView:
+class EngineStatus:
     """What the holder knows of one engine.
 
     Attributes:
@@ -49,7 +49,7 @@
     address: str
     state: engine.EngineState | None = None
     read_at: float = float("-inf")
-    staging: dict[str, Staging] = attrs.field(factory=dict)
+    staging: dict[str, StagingOrder] = attrs.field(factory=dict)
     quarantined_until: float = 0.0
 
     def active(self, trainer: str) -> int:
@@ -61,7 +61,7 @@
         staging = self.staging.get(trainer)
         return staging is not None and staging.version == version
 
-    def holds(self, trainer: str, version: int) -> bool:
+    def has_version(self, trainer: str, version: int) -> bool:
         """Tells whether it runs a version or is ready to."""
         if self.state is None:
             return False
@@ -69,7 +69,7 @@
         return is_staged or self.active(trainer) >= version
 
 
-class Activation:
+class WeightActivator:
     """Stages and activates versions in one zone, a round at a time.
 
     All zones stage first; when each has said so in the store, each activates
@@ -102,20 +102,20 @@
         self.order_sender = order_sender
         self.clock = clock
         self.order_timeout_s = order_timeout_s
-        self.views: dict[str, EngineView] = {}
+        self.engines: dict[str, EngineStatus] = {}
 
-    async def round(self) -> None:
+    async def run_once(self) -> None:
         """Does what is next for every published version."""
-        board = await self.publications.read()
-        for head in board.heads.values():
-            views = self._find_engines(head.service)
-            await self._refresh(views, head)
-            await self._stage(views, head)
-            await self._tell_staged(views, head, board)
-            if self._may_activate(head, board):
-                await self._activate(views, head)
-
-    def _find_engines(self, service: str) -> list[EngineView]:
+        state = await self.publications.read()
+        for published in state.published.values():
+            statuses = self._find_engines(published.service)
+            await self._refresh(statuses, published)
+            await self._stage(statuses, published)
+            await self._report_staged(statuses, published, state)
+            if self._can_activate(published, state):
+                await self._activate(statuses, published)
+
+    def _find_engines(self, service: str) -> list[EngineStatus]:
         pool = self.pools.pools.get(service)
         if pool is None:
             return []
@@ -125,92 +125,98 @@
             for s in servers
             if s.server.zone == self.zone and not s.is_leaving
         )
-        return [self.views.setdefault(a, EngineView(a)) for a in addresses]
+        return [self.engines.setdefault(a, EngineStatus(a)) for a in addresses]
 
     async def _refresh(
-        self, views: list[EngineView], head: publication.Head
+        self,
+        statuses: list[EngineStatus],
+        published: publication.PublishedVersion,
     ) -> None:
         now = self.clock.monotonic()
-        limiter = trio.CapacityLimiter(READS_AT_A_TIME)
+        limiter = trio.CapacityLimiter(MAX_CONCURRENT_READS)
         async with trio.open_nursery() as nursery:
-            for view in views:
-                is_old = now - view.read_at > REFRESH_S
-                is_waiting = head.trainer in view.staging
+            for status in statuses:
+                is_old = now - status.read_at > REFRESH_S
+                is_waiting = published.trainer in status.staging
                 if is_old or is_waiting:
-                    nursery.start_soon(self._read, view, limiter)
+                    nursery.start_soon(self._read, status, limiter)
 
     async def _read(
-        self, view: EngineView, limiter: trio.CapacityLimiter
+        self, status: EngineStatus, limiter: trio.CapacityLimiter
     ) -> None:
         async with limiter:
             try:
-                view.state = await engine.read_state(
-                    self.http_client, view.address, self.order_timeout_s
+                status.state = await engine.read_state(
+                    self.http_client, status.address, self.order_timeout_s
                 )
             except calls.PlatformError:
-                view.state = None
-            view.read_at = self.clock.monotonic()
-        self._forget_staging(view)
+                status.state = None
+            status.read_at = self.clock.monotonic()
+        self._expire_staging(status)
 
-    def _forget_staging(self, view: EngineView) -> None:
+    def _expire_staging(self, status: EngineStatus) -> None:
         """Lets an engine that did not get the weights be told again."""
         oldest = self.clock.monotonic() - STAGE_RETRY_S
-        view.staging = {
+        status.staging = {
             trainer: staging
-            for trainer, staging in view.staging.items()
-            if view.state is not None
-            and not view.holds(trainer, staging.version)
+            for trainer, staging in status.staging.items()
+            if status.state is not None
+            and not status.has_version(trainer, staging.version)
             and staging.ordered_at > oldest
         }
 
-    def _usable(self, views: Iterable[EngineView]) -> list[EngineView]:
+    def _usable(self, statuses: Iterable[EngineStatus]) -> list[EngineStatus]:
         now = self.clock.monotonic()
         return [
-            view
-            for view in views
-            if view.state is not None and now >= view.quarantined_until
+            status
+            for status in statuses
+            if status.state is not None and now >= status.quarantined_until
         ]
 
     async def _stage(
-        self, views: list[EngineView], head: publication.Head
+        self,
+        statuses: list[EngineStatus],
+        published: publication.PublishedVersion,
     ) -> None:
-        lacking = [
-            view
-            for view in self._usable(views)
-            if not view.holds(head.trainer, head.version)
-            and not view.is_staging(head.trainer, head.version)
+        missing = [
+            status
+            for status in self._usable(statuses)
+            if not status.has_version(published.trainer, published.version)
+            and not status.is_staging(published.trainer, published.version)
         ]
-        busy = sum(1 for view in views if view.staging)
-        chosen = lacking[: max(0, STAGES_AT_A_TIME - busy)]
-        await self._order(chosen, head, engine.OrderKind.STAGE)
+        busy = sum(1 for status in statuses if status.staging)
+        chosen = missing[: max(0, MAX_CONCURRENT_STAGINGS - busy)]
+        await self._order(chosen, published, engine.OrderKind.STAGE)
 
     async def _order(
         self,
-        views: list[EngineView],
-        head: publication.Head,
+        statuses: list[EngineStatus],
+        published: publication.PublishedVersion,
         kind: engine.OrderKind,
     ) -> None:
-        if not views:
+        if not statuses:
             return
-        orders = [self._make_order(view, head, kind) for view in views]
+        orders = [
+            self._make_order(status, published, kind) for status in statuses
+        ]
         for order in await self.order_sender.send_orders(orders, self.send):
-            self._note(order, head, kind)
+            self._record_outcome(order, published, kind)
 
     def _make_order(
         self,
-        view: EngineView,
-        head: publication.Head,
+        status: EngineStatus,
+        published: publication.PublishedVersion,
         kind: engine.OrderKind,
     ) -> journals.JournalOrder:
         order_id = journals.new_order_id()
         order = engine.EngineOrder(
-            order_id, 0, kind, head.trainer, head.version
+            order_id, 0, kind, published.trainer, published.version
         )
         return journals.JournalOrder(
             order_id,
             0,
             ORDER_KIND,
-            view.address,
+            status.address,
             codec.encode(order).decode(),
             self.clock.now(),
         )
@@ -227,48 +233,60 @@
             self.order_timeout_s,
             lease_check,
         )
-        view = self.views.setdefault(order.target, EngineView(order.target))
-        view.state = state
+        status = self.engines.setdefault(
+            order.target, EngineStatus(order.target)
+        )
+        status.state = state
         return ordersender.Outcome(state.accepted, state.reason)
 
-    def _note(
+    def _record_outcome(
         self,
         order: journals.JournalOrder,
-        head: publication.Head,
+        published: publication.PublishedVersion,
         kind: engine.OrderKind,
     ) -> None:
-        view = self.views[order.target]
+        status = self.engines[order.target]
         if order.state is not journals.OrderState.DONE:
-            view.quarantined_until = self.clock.monotonic() + QUARANTINE_S
+            status.quarantined_until = self.clock.monotonic() + QUARANTINE_S
         elif kind is engine.OrderKind.STAGE:
             now = self.clock.monotonic()
-            view.staging[head.trainer] = Staging(head.version, now)
+            status.staging[published.trainer] = StagingOrder(
+                published.version, now
+            )
 
-    async def _tell_staged(
+    async def _report_staged(
         self,
-        views: list[EngineView],
-        head: publication.Head,
-        board: publication.Board,
+        statuses: list[EngineStatus],
+        published: publication.PublishedVersion,
+        state: publication.PublicationState,
     ) -> None:
-        usable = self._usable(views)
-        is_told = board.staged.get((head.trainer, self.zone)) == head.version
-        if not usable or is_told:
+        usable = self._usable(statuses)
+        is_reported = (
+            state.staged.get((published.trainer, self.zone))
+            == published.version
+        )
+        if not usable or is_reported:
             return
-        if all(view.holds(head.trainer, head.version) for view in usable):
+        if all(
+            status.has_version(published.trainer, published.version)
+            for status in usable
+        ):
             await self.publications.mark_staged(
-                board, head.trainer, self.zone, head.version
+                state, published.trainer, self.zone, published.version
             )
 
-    def _may_activate(
-        self, head: publication.Head, board: publication.Board
+    def _can_activate(
+        self,
+        published: publication.PublishedVersion,
+        state: publication.PublicationState,
     ) -> bool:
-        age_s = (self.clock.now() - head.at).total_seconds()
-        zones = self._zones_of(head.service)
+        age_s = (self.clock.now() - published.at).total_seconds()
+        zones = self._zones_of(published.service)
         is_staged = all(
-            board.staged.get((head.trainer, zone)) == head.version
+            state.staged.get((published.trainer, zone)) == published.version
             for zone in zones
         )
-        return is_staged or age_s > STAGE_PATIENCE_S
+        return is_staged or age_s > STAGE_TIMEOUT_S
 
     def _zones_of(self, service: str) -> set[str]:
         configured = self.pools.replica.document.services.get(service)
@@ -279,20 +297,22 @@
         return {server.zone for server in servers}
 
     async def _activate(
-        self, views: list[EngineView], head: publication.Head
+        self,
+        statuses: list[EngineStatus],
+        published: publication.PublishedVersion,
     ) -> None:
         waiting = [
-            view
-            for view in self._usable(views)
-            if view.active(head.trainer) < head.version
-            and view.holds(head.trainer, head.version)
+            status
+            for status in self._usable(statuses)
+            if status.active(published.trainer) < published.version
+            and status.has_version(published.trainer, published.version)
         ]
-        await self._order(waiting, head, engine.OrderKind.ACTIVATE)
+        await self._order(waiting, published, engine.OrderKind.ACTIVATE)
         if waiting:
             events.log(
                 events.Event.WEIGHTS_ACTIVATED,
                 zone=self.zone,
-                trainer=head.trainer,
-                version=head.version,
+                trainer=published.trainer,
+                version=published.version,
                 engines=len(waiting),
             )
--- a/src/kingcupscale/rollouts/publication.py
+++ b/src/kingcupscale/rollouts/publication.py
@@ -11,13 +11,13 @@
 from kingcupscale.providers import calls
 from kingcupscale.providers import keyvalue
 
-HEADS_PREFIX = "weights/heads/"
+PUBLISHED_PREFIX = "weights/heads/"
 STAGED_PREFIX = "weights/staged/"
-ATTEMPTS = 5
+MAX_ATTEMPTS = 5
 
 
 @attrs.frozen
-class Head:
+class PublishedVersion:
     """A trainer's newest weights.
 
     Attributes:
@@ -36,7 +36,7 @@
 
 
 @attrs.frozen
-class Staged:
+class StagedVersion:
     """Says that a zone's engines hold a version, ready to activate."""
 
     trainer: str
@@ -46,16 +46,16 @@
 
 
 @attrs.frozen
-class Board:
+class PublicationState:
     """All heads, and which zones have staged what.
 
     Attributes:
-        heads: By trainer.
+        published: By trainer.
         staged: Version by trainer and zone.
         versions: The store's versions of the entries, by key.
     """
 
-    heads: dict[str, Head]
+    published: dict[str, PublishedVersion]
     staged: dict[tuple[str, str], int]
     versions: dict[str, int]
 
@@ -82,7 +82,7 @@
                 ``STORE_UNAVAILABLE``.
         """
         try:
-            for _ in range(ATTEMPTS):
+            for _ in range(MAX_ATTEMPTS):
                 if await self._try_publish(trainer, service, version):
                     return
         except calls.PlatformError as e:
@@ -99,24 +99,24 @@
     async def _try_publish(
         self, trainer: str, service: str, version: int
     ) -> bool:
-        key = HEADS_PREFIX + trainer
+        key = PUBLISHED_PREFIX + trainer
         entry = await self.store.get(key)
         if entry is not None:
-            present = codec.decode(Head, entry.value).version
-            if present == version:
+            current = codec.decode(PublishedVersion, entry.value).version
+            if current == version:
                 return True
-            if present > version:
+            if current > version:
                 raise errors.ServiceError(
                     errors.ResultCode.VERSION_CONFLICT,
-                    f"version {present} is published already",
+                    f"version {current} is published already",
                 )
-        head = Head(
+        published = PublishedVersion(
             trainer, service, version, self.clock.now(), keyvalue.new_token()
         )
         answer = await keyvalue.put_resolved(
             self.store,
             key,
-            codec.encode(head).decode(),
+            codec.encode(published).decode(),
             entry.version if entry else keyvalue.ABSENT,
         )
         if answer.written:
@@ -125,28 +125,30 @@
             )
         return answer.written
 
-    async def read(self) -> Board:
+    async def read(self) -> PublicationState:
         """Returns everything published and staged, by one call."""
         answer = await self.store.scan("weights/")
-        board = Board({}, {}, {e.key: e.version for e in answer.entries})
+        state = PublicationState(
+            {}, {}, {e.key: e.version for e in answer.entries}
+        )
         for entry in answer.entries:
-            if entry.key.startswith(HEADS_PREFIX):
-                head = codec.decode(Head, entry.value)
-                board.heads[head.trainer] = head
+            if entry.key.startswith(PUBLISHED_PREFIX):
+                published = codec.decode(PublishedVersion, entry.value)
+                state.published[published.trainer] = published
             else:
-                staged = codec.decode(Staged, entry.value)
-                board.staged[staged.trainer, staged.zone] = staged.version
-        return board
+                staged = codec.decode(StagedVersion, entry.value)
+                state.staged[staged.trainer, staged.zone] = staged.version
+        return state
 
     async def mark_staged(
-        self, board: Board, trainer: str, zone: str, version: int
+        self, state: PublicationState, trainer: str, zone: str, version: int
     ) -> None:
         """Notes that a zone is ready to activate a version."""
         key = f"{STAGED_PREFIX}{trainer}/{zone}"
-        staged = Staged(trainer, zone, version, keyvalue.new_token())
+        staged = StagedVersion(trainer, zone, version, keyvalue.new_token())
         await keyvalue.put_resolved(
             self.store,
             key,
             codec.encode(staged).decode(),
-            board.versions.get(key, keyvalue.ABSENT),
+            state.versions.get(key, keyvalue.ABSENT),
         )
--- a/src/kingcupscale/rollouts/scoring.py
+++ b/src/kingcupscale/rollouts/scoring.py
@@ -12,7 +12,7 @@
 from kingcupscale.serving import plainservices
 from kingcupscale.web import message
 
-PATH = "/score"
+SCORE_PATH = "/score"
 
 
 @attrs.frozen
@@ -42,18 +42,18 @@
     """Scores by a plain service, whose calls may be repeated.
 
     Args:
-        caller: Carries the calls.
+        plain_service_client: Carries the calls.
         service: Name of the scoring service.
         grant: On whose behalf.
     """
 
     def __init__(
         self,
-        caller: plainservices.PlainServiceClient,
+        plain_service_client: plainservices.PlainServiceClient,
         service: str,
         grant: keys.Grant,
     ) -> None:
-        self.caller = caller
+        self.plain_service_client = plain_service_client
         self.service = service
         self.grant = grant
 
@@ -64,10 +64,10 @@
             ServiceError: If the service gives none.
         """
         request = message.json_request(
-            PATH, ScoreRequest(prompt, " ".join(sample.tokens))
+            SCORE_PATH, ScoreRequest(prompt, " ".join(sample.tokens))
         )
-        call = plainservices.Call(self.service, PATH, request, self.grant)
-        response = await self.caller.call(call)
+        call = plainservices.Call(self.service, SCORE_PATH, request, self.grant)
+        response = await self.plain_service_client.call(call)
         try:
             return codec.decode(ScoreAnswer, response.body).score
         except (codec.DecodeError, orjson.JSONDecodeError) as e:
--- a/src/kingcupscale/rollouts/service.py
+++ b/src/kingcupscale/rollouts/service.py
@@ -23,7 +23,7 @@
 from kingcupscale.serving import plainservices
 from kingcupscale.web import message
 
-STEPS_PER_TRAINER = 4
+MAX_STEPS_PER_TRAINER = 4
 
 Handler = Callable[[message.Request, keys.Grant], Awaitable[message.Response]]
 
@@ -59,7 +59,9 @@
         self.metrics = metrics
         self.clock = clock
         self.steps: dict[tuple[str, int], steps.Step] = {}
-        self.opened, self.openings = trio.open_memory_channel[steps.Step](64)
+        self.step_sender, self.step_receiver = trio.open_memory_channel[
+            steps.Step
+        ](64)
         self.handlers: dict[str, Handler] = {
             messages.STEPS_PATH: self._open,
             messages.FETCH_PATH: self._fetch,
@@ -70,7 +72,7 @@
     async def run(self) -> None:
         """Runs the steps that are opened until cancelled."""
         async with trio.open_nursery() as nursery:
-            async for step in self.openings:
+            async for step in self.step_receiver:
                 nursery.start_soon(self._run_step, step)
 
     async def _run_step(self, step: steps.Step) -> None:
@@ -118,11 +120,11 @@
         grant: keys.Grant,
         body: messages.OpenRequest,
     ) -> steps.Step:
-        mine = [key for key in self.steps if key[0] == grant.trainer]
-        if len(mine) >= STEPS_PER_TRAINER:
+        open_steps = [key for key in self.steps if key[0] == grant.trainer]
+        if len(open_steps) >= MAX_STEPS_PER_TRAINER:
             raise errors.ServiceError(
                 errors.ResultCode.QUEUE_FULL,
-                f"{STEPS_PER_TRAINER} steps are open; cancel one",
+                f"{MAX_STEPS_PER_TRAINER} steps are open; cancel one",
                 retry_after_s=1,
             )
         step = steps.Step(specification, self._make_context(grant))
@@ -135,7 +137,7 @@
             step=specification.step,
             groups=len(specification.groups),
         )
-        await self.opened.send(step)
+        await self.step_sender.send(step)
         return step
 
     def _make_context(self, grant: keys.Grant) -> steps.StepContext:
--- a/src/kingcupscale/rollouts/step.py
+++ b/src/kingcupscale/rollouts/step.py
@@ -17,11 +17,11 @@
 from kingcupscale.serving import generation
 
 CHUNK_TOKENS = 32
-RETRY_S = 0.2
-RETRY_LONGEST_S = 2.0
-SAMPLES_AT_A_TIME = 128
-IDLE_LIMIT_S = 60.0
-FETCH_WAIT_LONGEST_S = 30.0
+RETRY_DELAY_S = 0.2
+MAX_RETRY_DELAY_S = 2.0
+MAX_CONCURRENT_SAMPLES = 128
+IDLE_TIMEOUT_S = 60.0
+MAX_FETCH_WAIT_S = 30.0
 
 
 class _StaleError(Exception):
@@ -75,9 +75,9 @@
         self.context = context
         self.version = specification.version
         self.ready: dict[int, messages.Group] = {}
-        self.done: set[int] = set()
+        self.received: set[int] = set()
         self.groups = {group.group: group for group in specification.groups}
-        self.limiter = trio.CapacityLimiter(SAMPLES_AT_A_TIME)
+        self.limiter = trio.CapacityLimiter(MAX_CONCURRENT_SAMPLES)
         self.changed = trio.Event()
         self.cancel_scope = trio.CancelScope()
         self.nursery: trio.Nursery | None = None
@@ -85,29 +85,29 @@
 
     def mark_received(self, received: ranges.Ranges) -> None:
         """Takes over which groups the trainer has."""
-        self.done |= ranges.from_ranges(received, self.groups)
-        for group in self.done & self.ready.keys():
+        self.received |= ranges.from_ranges(received, self.groups)
+        for group in self.received & self.ready.keys():
             del self.ready[group]
-        if len(self.done) == len(self.groups):
+        if len(self.received) == len(self.groups):
             self.cancel_scope.cancel()
 
     def remaining(self) -> int:
         """Returns how many groups the trainer lacks."""
-        return len(self.groups) - len(self.done)
+        return len(self.groups) - len(self.received)
 
     async def run(self) -> None:
         """Makes all groups until the trainer has them or goes away."""
         with self.cancel_scope:
             async with trio.open_nursery() as nursery:
                 self.nursery = nursery
-                for number in self.groups.keys() - self.done:
+                for number in self.groups.keys() - self.received:
                     nursery.start_soon(self._make_group, number, {})
                 await self._wait_for_idle()
                 nursery.cancel_scope.cancel()
 
     async def _wait_for_idle(self) -> None:
         clock = self.context.clock
-        while clock.monotonic() < self.fetched_at + IDLE_LIMIT_S:
+        while clock.monotonic() < self.fetched_at + IDLE_TIMEOUT_S:
             await clock.sleep(1.0)
 
     async def _make_group(
@@ -135,10 +135,12 @@
                     samples[index] = await self._generate(number, index)
                 except _StaleError:
                     self._log_restart(number, index)
-                    await self.context.clock.sleep(RETRY_S)
+                    await self.context.clock.sleep(RETRY_DELAY_S)
                 except errors.ServiceError:
                     failures += 1
-                    pause_s = min(RETRY_LONGEST_S, RETRY_S * 2**failures)
+                    pause_s = min(
+                        MAX_RETRY_DELAY_S, RETRY_DELAY_S * 2**failures
+                    )
                     await self.context.clock.sleep(pause_s)
 
     async def _generate(self, number: int, index: int) -> messages.Sample:
@@ -151,12 +153,12 @@
         )
         tokens: list[str] = []
         segments: list[messages.Segment] = []
-        pieces = self.context.generator.generate(job)
-        async with contextlib.aclosing(pieces):
-            async for piece in pieces:
+        token_chunks = self.context.generator.generate(job)
+        async with contextlib.aclosing(token_chunks):
+            async for token_chunk in token_chunks:
                 start = len(tokens)
-                tokens += piece.tokens
-                _add_segment(segments, piece, start, len(tokens))
+                tokens += token_chunk.tokens
+                _add_segment(segments, token_chunk, start, len(tokens))
                 if not self._is_fresh(segments):
                     raise _StaleError
         sample = messages.Sample(index, job.seed, tokens, segments)
@@ -193,10 +195,10 @@
         self.fetched_at = self.context.clock.monotonic()
         self.version = max(self.version, request.version)
         self.mark_received(request.received)
-        with trio.move_on_after(min(request.wait_s, FETCH_WAIT_LONGEST_S)):
-            while self.remaining() and not self._take_fresh(1):
+        with trio.move_on_after(min(request.wait_s, MAX_FETCH_WAIT_S)):
+            while self.remaining() and not self._fresh_groups(1):
                 await self._wait_for_change()
-        groups = self._take_fresh(request.limit)
+        groups = self._fresh_groups(request.limit)
         self._record_staleness(groups)
         self.fetched_at = self.context.clock.monotonic()
         return messages.FetchAnswer(groups, self.remaining() - len(groups))
@@ -206,16 +208,16 @@
             raise errors.ServiceError(errors.ResultCode.STEP_CANCELLED)
         await self.changed.wait()
 
-    def _take_fresh(self, limit: int) -> list[messages.Group]:
+    def _fresh_groups(self, limit: int) -> list[messages.Group]:
         """Returns ready groups that keep the bound; remakes the others."""
         for group in list(self.ready.values()):
-            fresh = {s.index: s for s in group.samples if self._may_deliver(s)}
+            fresh = {s.index: s for s in group.samples if self._can_deliver(s)}
             if len(fresh) < len(group.samples) and self.nursery is not None:
                 del self.ready[group.group]
                 self.nursery.start_soon(self._make_group, group.group, fresh)
         return [self.ready[number] for number in sorted(self.ready)[:limit]]
 
-    def _may_deliver(self, sample: messages.Sample) -> bool:
+    def _can_deliver(self, sample: messages.Sample) -> bool:
         return self.context.rule.allows(sample.oldest_version(), self.version)
 
     def _record_staleness(self, groups: list[messages.Group]) -> None:
@@ -236,20 +238,22 @@
 
 def _add_segment(
     segments: list[messages.Segment],
-    piece: generation.Piece,
+    token_chunk: generation.TokenChunk,
     start: int,
     end: int,
 ) -> None:
-    """Adds a piece's tokens, to the last segment where it goes on."""
+    """Adds a token_chunk's tokens, to the last segment where it goes on."""
     last = segments[-1] if segments else None
     is_same = (
         last is not None
-        and last.version == piece.version
-        and last.engine == piece.server
+        and last.version == token_chunk.version
+        and last.engine == token_chunk.server
     )
     if is_same and last is not None:
         segments[-1] = attrs.evolve(last, end=end)
     else:
         segments.append(
-            messages.Segment(piece.version, start, end, piece.server)
+            messages.Segment(
+                token_chunk.version, start, end, token_chunk.server
+            )
         )
--- a/src/kingcupscale/rollouts/trainer.py
+++ b/src/kingcupscale/rollouts/trainer.py
@@ -14,10 +14,10 @@
 from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
-TIMEOUT_S = 30.0
+REQUEST_TIMEOUT_S = 30.0
 FETCH_WAIT_S = 5.0
-PAUSE_S = 0.25
-FINAL_CODES = (
+RETRY_DELAY_S = 0.25
+PERMANENT_ERROR_CODES = (
     errors.ResultCode.BODY_INVALID.number,
     errors.ResultCode.STEP_CONFLICT.number,
     errors.ResultCode.VERSION_CONFLICT.number,
@@ -83,7 +83,7 @@
         self.nodes = nodes
         self.headers = {"authorization": f"Bearer {key}"}
         self.clock = clock
-        self.current = 0
+        self.node_index = 0
         self.version = 0
         self.statistics = TrainerStatistics()
 
@@ -99,46 +99,46 @@
             TrainerError: If the step cannot be run at all.
         """
         wanted = {group.group for group in specification.groups}
-        has: set[int] = set()
-        await self._open(specification, has)
-        while has != wanted:
-            answer = await self._fetch(specification, has)
+        received: set[int] = set()
+        await self._open(specification, received)
+        while received != wanted:
+            answer = await self._fetch(specification, received)
             if answer is None:
-                await self._open(specification, has)
+                await self._open(specification, received)
                 continue
             for group in answer.groups:
-                if group.group in has or group.group not in wanted:
+                if group.group in received or group.group not in wanted:
                     self.statistics.repeated_groups += 1
                     continue
-                has.add(group.group)
+                received.add(group.group)
                 yield group
-        await self._finish(specification, has)
+        await self._finish(specification, received)
 
     async def _open(
-        self, specification: messages.StepSpecification, has: set[int]
+        self, specification: messages.StepSpecification, received: set[int]
     ) -> None:
-        body = messages.OpenRequest(specification, ranges.to_ranges(has))
-        await self._post_until_answered(messages.STEPS_PATH, body)
+        body = messages.OpenRequest(specification, ranges.to_ranges(received))
+        await self._post_with_retries(messages.STEPS_PATH, body)
 
     async def _fetch(
-        self, specification: messages.StepSpecification, has: Iterable[int]
+        self, specification: messages.StepSpecification, received: Iterable[int]
     ) -> messages.FetchAnswer | None:
         """Returns groups, or None if the step has to be opened again."""
         body = messages.FetchRequest(
             specification.step,
             codec.NaturalInt(max(self.version, specification.version)),
-            ranges.to_ranges(has),
+            ranges.to_ranges(received),
             wait_s=FETCH_WAIT_S,
         )
         try:
             response = await self._post(messages.FETCH_PATH, body)
             return codec.decode(messages.FetchAnswer, response.body)
         except (httpclient.RequestError, errors.ServiceError, ValueError):
-            await self._change_node()
+            await self._switch_node()
             return None
 
     async def _finish(
-        self, specification: messages.StepSpecification, has: set[int]
+        self, specification: messages.StepSpecification, received: set[int]
     ) -> None:
         """Lets the node forget the step; it would by itself in time."""
         body = messages.CancelRequest(specification.step)
@@ -150,27 +150,27 @@
     async def publish(self, version: int) -> None:
         """Announces weights that lie in the weight store."""
         body = messages.PublishRequest(codec.PositiveInt(version))
-        await self._post_until_answered(messages.WEIGHTS_PATH, body)
+        await self._post_with_retries(messages.WEIGHTS_PATH, body)
         self.version = max(self.version, version)
 
-    async def _post_until_answered(self, path: str, body: object) -> None:
+    async def _post_with_retries(self, path: str, body: object) -> None:
         while True:
             try:
                 await self._post(path, body)
                 return
             except (httpclient.RequestError, errors.ServiceError):
-                await self._change_node()
+                await self._switch_node()
 
-    async def _change_node(self) -> None:
+    async def _switch_node(self) -> None:
         self.statistics.node_changes += 1
-        self.current = (self.current + 1) % len(self.nodes)
-        await self.clock.sleep(PAUSE_S)
+        self.node_index = (self.node_index + 1) % len(self.nodes)
+        await self.clock.sleep(RETRY_DELAY_S)
 
     async def _post(self, path: str, body: object) -> message.Response:
         request = message.json_request(path, body, dict(self.headers))
-        node = self.nodes[self.current]
+        node = self.nodes[self.node_index]
         response = await httpclient.fetch(
-            self.http_client, node, request, TIMEOUT_S
+            self.http_client, node, request, REQUEST_TIMEOUT_S
         )
         if response.status == 200:
             return response
@@ -183,7 +183,7 @@
         code, detail = int(error["code"]), str(error["message"])
     except (ValueError, KeyError, TypeError):
         code, detail = 0, f"status {response.status}"
-    if code in FINAL_CODES:
+    if code in PERMANENT_ERROR_CODES:
         return TrainerError(code, detail)
     return errors.ServiceError(errors.ResultCode.BACKEND_FAILED, detail)
 
--- a/src/kingcupscale/serving/__init__.py
+++ b/src/kingcupscale/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Serving callers: admission, order of service, routing, retries."""
+"""Serves callers: authentication, queueing, routing and retries."""
--- a/src/kingcupscale/serving/callerapi.py
+++ b/src/kingcupscale/serving/callerapi.py
@@ -1,4 +1,8 @@
-"""The callers' listener: keys to organisations, paths to handlers."""
+"""The HTTP API for callers.
+
+Authenticates requests, maps each key to its organisation and each path to its
+handler, and serves the health checks.
+"""
 
 from typing import Protocol
 import urllib.parse
@@ -16,36 +20,38 @@
 SERVICES_PREFIX = "/services/"
 OPEN_PREFIX = "/open/"
 ROLLOUTS_PREFIX = "/v1/rollouts/"
-DRAIN_RETRY_S = 1.0
+DRAIN_RETRY_AFTER_S = 1.0
 
 
 class RolloutHandler(Protocol):
-    """Serves trainers."""
+    """Serves trainers' requests."""
 
     async def serve(
         self, request: message.Request, grant: keys.Grant
     ) -> message.Response:
-        """Returns the answer to one request of a trainer."""
+        """Returns the response to one request of a trainer."""
         ...
 
 
 class CallerApi:
-    """Answers callers.
+    """Handles callers' requests.
 
-    The caller's key is checked here and goes no further.
+    The caller's key is checked and removed here, so that no backend server
+    receives it.
 
     Args:
-        key_ring: Checks the keys.
-        admission: Whether the node may admit.
-        open_sessions: Counts and ends requests.
-        completions: Serves engines.
-        plain_service_client: Serves plain services.
-        rollouts: Serves trainers.
+        key_ring: Authenticates the keys.
+        admission: Decides whether the node may admit requests.
+        open_sessions: The node's open requests.
+        completions: Serves completion requests.
+        plain_service_client: Calls plain services.
+        rollouts: Serves trainers' requests.
 
     Attributes:
-        is_leaving: Whether readiness is off, so that the balancer goes by.
-        is_draining: Whether new requests are refused.
-        active: Requests being answered.
+        is_unready: Whether the readiness check fails, so that the load balancer
+            sends no new requests.
+        is_draining: Whether new requests are rejected.
+        active: Number of requests in progress.
     """
 
     def __init__(
@@ -63,7 +69,7 @@
         self.completions = completions
         self.plain_service_client = plain_service_client
         self.rollouts = rollouts
-        self.is_leaving = False
+        self.is_unready = False
         self.is_draining = False
         self.active = 0
         self.routes = httprouter.HttpRouter()
@@ -77,30 +83,30 @@
         self.routes.add_prefix(ROLLOUTS_PREFIX, self._serve_rollouts)
 
     async def __call__(self, request: message.Request) -> message.Response:
-        """Answers one request."""
+        """Returns the response to one request."""
         self.active += 1
         try:
             return await self.routes(request)
         finally:
             self.active -= 1
 
-    def _admit(self, request: message.Request) -> keys.Grant:
-        """Returns what the request's key gives, and drops the key.
+    def _authenticate(self, request: message.Request) -> keys.Grant:
+        """Returns the access rights of the request's key and removes the key.
 
         Raises:
-            ServiceError: If the node or the key cannot admit it.
+            ServiceError: If the node admits no requests or the key is invalid.
         """
-        self._check_open()
+        self._check_admitting()
         text = keys.read_bearer(request.headers)
         grant = self.key_ring.authenticate(text)
         request.headers.pop("authorization", None)
         _check_exposure(request, text)
         return grant
 
-    def _check_open(self) -> None:
+    def _check_admitting(self) -> None:
         if self.is_draining:
             raise errors.ServiceError(
-                errors.ResultCode.DRAINING, retry_after_s=DRAIN_RETRY_S
+                errors.ResultCode.DRAINING, retry_after_s=DRAIN_RETRY_AFTER_S
             )
         self.admission.check()
 
@@ -108,13 +114,13 @@
         return message.json_response({"live": True})
 
     async def _serve_ready(self, _: message.Request) -> message.Response:
-        if self.is_leaving:
+        if self.is_unready:
             raise errors.ServiceError(errors.ResultCode.DRAINING)
-        self._check_open()
+        self._check_admitting()
         return message.json_response({"ready": True})
 
     async def _serve_models(self, request: message.Request) -> message.Response:
-        self._admit(request)
+        self._authenticate(request)
         document_ = self.key_ring.replica.document
         models = [
             {"id": name, "object": "model"}
@@ -124,30 +130,31 @@
         return message.json_response({"object": "list", "data": models})
 
     async def _serve_text(self, request: message.Request) -> message.Response:
-        grant = self._admit(request)
+        grant = self._authenticate(request)
         return await self.completions.serve(request, grant, is_chat=False)
 
     async def _serve_chat(self, request: message.Request) -> message.Response:
-        grant = self._admit(request)
+        grant = self._authenticate(request)
         return await self.completions.serve(request, grant, is_chat=True)
 
     async def _serve_rollouts(
         self, request: message.Request
     ) -> message.Response:
-        grant = self._admit(request)
+        grant = self._authenticate(request)
         if not grant.trainer:
             raise errors.ServiceError(
-                errors.ResultCode.FORBIDDEN, "the key is not a trainer's"
+                errors.ResultCode.FORBIDDEN,
+                "expected a trainer's key, found another kind of key",
             )
         with self.sessions.open(grant) as session:
             return await session.run(self.rollouts.serve, request, grant)
 
     async def _serve_plain(self, request: message.Request) -> message.Response:
-        grant = self._admit(request)
+        grant = self._authenticate(request)
         return await self._call_plain(request, SERVICES_PREFIX, grant)
 
     async def _serve_open(self, request: message.Request) -> message.Response:
-        self._check_open()
+        self._check_admitting()
         path = "/" + request.path.removeprefix(OPEN_PREFIX)
         route = self._find_open(path)
         organisations = self.key_ring.replica.document.organisations
@@ -164,14 +171,15 @@
         segments = urllib.parse.unquote(path).split("/")
         if "." in segments or ".." in segments:
             raise errors.ServiceError(
-                errors.ResultCode.ROUTE_UNKNOWN, "dot segments are not served"
+                errors.ResultCode.ROUTE_UNKNOWN,
+                "the path contains a dot segment",
             )
         for route in self.key_ring.replica.document.open_routes.values():
             prefix = f"/{route.service}{route.path}"
             if path == prefix or path.startswith(prefix.rstrip("/") + "/"):
                 return route
         raise errors.ServiceError(
-            errors.ResultCode.ROUTE_UNKNOWN, "no open route by this path"
+            errors.ResultCode.ROUTE_UNKNOWN, "no open route matches the path"
         )
 
     async def _call_plain(
@@ -184,7 +192,7 @@
 
 
 def _check_exposure(request: message.Request, text: str) -> None:
-    """Keeps a key out of what a backend server would see.
+    """Rejects a request that would pass its key on to a backend server.
 
     Raises:
         ServiceError: ``KEY_EXPOSED``.
--- a/src/kingcupscale/serving/claims.py
+++ b/src/kingcupscale/serving/claims.py
@@ -1,4 +1,9 @@
-"""Claims that make a caller's own retry safe on any node."""
+"""Idempotency keys: records of claimed requests in the key-value service.
+
+A node claims an Idempotency-Key before it runs a request and stores the
+response under it, so that a caller can repeat the request on any node without
+running it twice.
+"""
 
 import base64
 import enum
@@ -13,13 +18,13 @@
 from kingcupscale.web import message
 
 PREFIX = "claims/"
-KEPT_S = 24 * 3600.0
-ANSWER_KEPT_BYTES = 256 * 1024
+CLAIM_TTL_S = 24 * 3600.0
+MAX_STORED_BODY_BYTES = 256 * 1024
 RETRY_AFTER_S = 1.0
 
 
 class ClaimState(enum.Enum):
-    """How far a claimed request has come."""
+    """Progress of a claimed request."""
 
     RUNNING = "running"
     DONE = "done"
@@ -28,16 +33,16 @@
 
 @attrs.frozen
 class Claim:
-    """What the store holds of an Idempotency-Key.
+    """Stored record of an Idempotency-Key.
 
     Attributes:
-        fingerprint: Digest of the request that first used it.
-        state: How far it has come.
-        node: The node incarnation that runs it.
-        token: Unique to the write.
-        status: HTTP status of the answer.
-        content_type: Content type of the answer.
-        body: The answer in base64, or None if it was too large to keep.
+        fingerprint: Digest of the request that first used the key.
+        state: Progress of the request.
+        node: ``name/incarnation`` of the node that runs the request.
+        token: Unique to each write.
+        status: HTTP status of the response.
+        content_type: Content type of the response.
+        body: The response body in base64, or None if it was too large to store.
     """
 
     fingerprint: str
@@ -50,15 +55,21 @@
 
 
 @attrs.define
-class HeldClaim:
-    """A claim that this node has won."""
+class AcquiredClaim:
+    """A claim that this node acquired.
+
+    Attributes:
+        key: The claim's key in the key-value service.
+        version: Version of the entry that this node wrote.
+        claim: The record.
+    """
 
     key: str
     version: int
     claim: Claim
 
 
-class Claims:
+class ClaimStore:
     """Claims Idempotency-Keys in the key-value service.
 
     Args:
@@ -72,11 +83,12 @@
 
     async def acquire(
         self, organisation: str, text: str, fingerprint: str
-    ) -> HeldClaim | message.Response:
-        """Wins the right to run a request, or brings its earlier answer.
+    ) -> AcquiredClaim | message.Response:
+        """Claims a request, or returns the stored response to it.
 
         Args:
-            organisation: Whose key it is; keys of others do not clash.
+            organisation: The organisation that uses the key. Equal keys of
+                different organisations are independent.
             text: The Idempotency-Key.
             fingerprint: Digest of the request.
 
@@ -91,11 +103,11 @@
         )
         try:
             entry = await self.store.get(key)
-            version = _claimable(entry, fingerprint)
+            version = _claimable_version(entry, fingerprint)
             if version is not None:
-                held = await self._put(key, claim, version)
-                if held is not None:
-                    return held
+                acquired = await self._put(key, claim, version)
+                if acquired is not None:
+                    return acquired
                 entry = await self.store.get(key)
         except calls.PlatformError as e:
             raise errors.ServiceError(
@@ -103,20 +115,20 @@
                 e.reason,
                 retry_after_s=RETRY_AFTER_S,
             ) from e
-        return self._answer_again(entry, fingerprint)
+        return self._replay_response(entry, fingerprint)
 
     async def _put(
         self, key: str, claim: Claim, version: int
-    ) -> HeldClaim | None:
+    ) -> AcquiredClaim | None:
         text = codec.encode(claim).decode()
         answer = await keyvalue.put_resolved(
-            self.store, key, text, version, KEPT_S
+            self.store, key, text, version, CLAIM_TTL_S
         )
         if not answer.written:
             return None
-        return HeldClaim(key, answer.version, claim)
+        return AcquiredClaim(key, answer.version, claim)
 
-    def _answer_again(
+    def _replay_response(
         self, entry: keyvalue.Entry | None, fingerprint: str
     ) -> message.Response:
         if entry is None:
@@ -133,49 +145,60 @@
         if claim.state is ClaimState.DONE:
             raise errors.ServiceError(
                 errors.ResultCode.IDEMPOTENCY_UNKNOWN,
-                "it ran, but its answer was too large to keep",
+                "the request ran, but its response was too large to store",
                 errors.Run.RAN,
             )
         raise errors.ServiceError(
             errors.ResultCode.IDEMPOTENCY_BUSY,
-            "it was begun and has no recorded outcome",
+            "the request was started and has no recorded outcome",
             errors.Run.UNKNOWN,
             RETRY_AFTER_S,
         )
 
-    async def finish(self, held: HeldClaim, answer: message.Response) -> None:
-        """Keeps the answer for the caller's retries."""
+    async def store_response(
+        self, acquired: AcquiredClaim, answer: message.Response
+    ) -> None:
+        """Stores the response for the caller's retries."""
         body = None
-        if len(answer.body) <= ANSWER_KEPT_BYTES:
+        if len(answer.body) <= MAX_STORED_BODY_BYTES:
             body = base64.b64encode(answer.body).decode()
         claim = attrs.evolve(
-            held.claim,
+            acquired.claim,
             state=ClaimState.DONE,
             token=keyvalue.new_token(),
             status=answer.status,
             content_type=answer.headers.get("content-type", ""),
             body=body,
         )
-        await self._settle(held, claim)
+        await self._write_outcome(acquired, claim)
 
-    async def give_back(self, held: HeldClaim) -> None:
-        """Notes that nothing ran, so that a retry may run it."""
+    async def release(self, acquired: AcquiredClaim) -> None:
+        """Records that the request did not run, so that a retry may run it."""
         claim = attrs.evolve(
-            held.claim, state=ClaimState.NOT_RUN, token=keyvalue.new_token()
+            acquired.claim, state=ClaimState.NOT_RUN, token=keyvalue.new_token()
         )
-        await self._settle(held, claim)
+        await self._write_outcome(acquired, claim)
 
-    async def _settle(self, held: HeldClaim, claim: Claim) -> None:
-        """Writes an outcome; left out, retries learn that it is unknown."""
+    async def _write_outcome(
+        self, acquired: AcquiredClaim, claim: Claim
+    ) -> None:
+        """Writes the outcome of a request.
+
+        If the write fails, retries are answered that the outcome is unknown.
+        """
         text = codec.encode(claim).decode()
         try:
-            await self.store.put(held.key, text, held.version, KEPT_S)
+            await self.store.put(
+                acquired.key, text, acquired.version, CLAIM_TTL_S
+            )
         except calls.PlatformError:
             return
 
 
-def _claimable(entry: keyvalue.Entry | None, fingerprint: str) -> int | None:
-    """Returns the version on which the key may be claimed, if any."""
+def _claimable_version(
+    entry: keyvalue.Entry | None, fingerprint: str
+) -> int | None:
+    """Returns the entry version to claim the key at, or None if it is taken."""
     if entry is None:
         return keyvalue.ABSENT
     claim = codec.decode(Claim, entry.value)
--- a/src/kingcupscale/serving/completion.py
+++ b/src/kingcupscale/serving/completion.py
@@ -1,4 +1,8 @@
-"""The OpenAI-style interface for callers, whole and streamed."""
+"""OpenAI-compatible completions and chat completions.
+
+Owns the request and response formats, and serves responses in one body or as
+a stream of server-sent events.
+"""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -20,10 +24,11 @@
 
 MAX_TOKENS_LIMIT = 8192
 MAX_TOKENS_DEFAULT = codec.PositiveInt(256)
-WHOLE_CHUNK_TOKENS = 64
-# Tokens of a streamed piece; a short answer comes in this many pieces or more.
+UNSTREAMED_CHUNK_TOKENS = 64
+# Maximum tokens of a streamed chunk; a short response is split into at least
+# MIN_STREAM_CHUNKS chunks.
 STREAM_CHUNK_TOKENS = 16
-STREAM_PIECES_LEAST = 4
+MIN_STREAM_CHUNKS = 4
 
 
 @attrs.frozen
@@ -31,14 +36,14 @@
     """Body of ``POST /v1/completions``.
 
     Attributes:
-        model: Name of an engine service, or ``service/trainer`` for the
-            newest weights of a trainer.
+        model: Name of an engine service, or ``service/trainer`` for a
+            trainer's newest weights.
         prompt: Text to continue.
-        max_tokens: Most tokens to generate.
-        stream: Whether to send pieces as server-sent events.
-        seed: Chooses the sample.
-        temperature: Accepted and left to the engine's default.
-        user: Accepted and not used.
+        max_tokens: Maximum number of tokens to generate.
+        stream: Whether to stream the response as server-sent events.
+        seed: Seed of the sampling.
+        temperature: Accepted but ignored; engines use their default.
+        user: Accepted but ignored.
     """
 
     model: str
@@ -52,7 +57,7 @@
 
 @attrs.frozen
 class ChatMessage:
-    """One message of a conversation."""
+    """One chat message."""
 
     role: str
     content: str
@@ -82,8 +87,8 @@
         )
 
 
-class _Shape:
-    """How answers look: text completions or chat messages."""
+class _ResponseFormat:
+    """Formats responses as text completions or chat messages."""
 
     def __init__(self, model: str, is_chat: bool, created: int) -> None:
         self.model = model
@@ -91,8 +96,8 @@
         self.created = created
         self.answer_id = f"cmpl-{uuid.uuid4().hex}"
 
-    def whole(self, text: str, prompt_tokens: int, tokens: int) -> bytes:
-        """Returns the body of a whole answer."""
+    def full_body(self, text: str, prompt_tokens: int, tokens: int) -> bytes:
+        """Returns the body of a response that is not streamed."""
         choice = {"index": 0, "finish_reason": "stop"}
         if self.is_chat:
             choice["message"] = {"role": "assistant", "content": text}
@@ -108,15 +113,15 @@
             },
         )
 
-    def piece(self, text: str, is_first: bool) -> bytes:
-        """Returns the server-sent event of some text."""
+    def chunk_event(self, text: str, is_first: bool) -> bytes:
+        """Returns the server-sent event for a chunk of text."""
         if not self.is_chat:
             return self._event({"text": text}, None)
         role = {"role": "assistant"} if is_first else {}
         return self._event({"delta": {**role, "content": text}}, None)
 
-    def end(self) -> bytes:
-        """Returns the server-sent event that says that the text is whole."""
+    def end_event(self) -> bytes:
+        """Returns the server-sent event that ends a complete response."""
         return self._event(
             {"delta": {}} if self.is_chat else {"text": ""}, "stop"
         )
@@ -142,13 +147,13 @@
 
 
 class Completions:
-    """Serves completions on engines.
+    """Serves completion requests on engines.
 
     Args:
-        generator: Runs the jobs.
-        open_sessions: Counts the requests.
-        clock: Tells the time.
-        metrics: Histograms.
+        generator: Generates the text.
+        open_sessions: The node's open requests.
+        clock: Source of the time.
+        metrics: Latency histograms.
     """
 
     def __init__(
@@ -166,23 +171,23 @@
     async def serve(
         self, request: message.Request, grant: keys.Grant, is_chat: bool
     ) -> message.Response:
-        """Returns the answer to one request, whole or streamed."""
+        """Returns the response to one request, streamed or in one body."""
         if is_chat:
             body = request.parse(ChatRequest).to_completion()
         else:
             body = request.parse(CompletionRequest)
         job = self._make_job(body, grant)
         created = int(self.clock.now().timestamp())
-        shape = _Shape(body.model, is_chat, created)
+        response_format = _ResponseFormat(body.model, is_chat, created)
         if not body.stream:
-            return await self._serve_whole(job, grant, shape)
-        events = self._serve_stream(job, grant, shape)
+            return await self._serve_full(job, grant, response_format)
+        events = self._serve_stream(job, grant, response_format)
         first = await anext(events)
         headers = {
             "content-type": "text/event-stream",
             "cache-control": "no-store",
         }
-        return message.Response(200, headers, chunks=_resume(first, events))
+        return message.Response(200, headers, chunks=_prepend(first, events))
 
     def _make_job(
         self, body: CompletionRequest, grant: keys.Grant
@@ -196,10 +201,10 @@
         service, _, adapter = body.model.partition("/")
         pools = self.generator.pools
         pools.get(service, document.ServiceKind.ENGINE)
-        chunk = WHOLE_CHUNK_TOKENS
+        chunk = UNSTREAMED_CHUNK_TOKENS
         if body.stream:
-            least = max(1, body.max_tokens // STREAM_PIECES_LEAST)
-            chunk = min(STREAM_CHUNK_TOKENS, least)
+            max_chunk_tokens = max(1, body.max_tokens // MIN_STREAM_CHUNKS)
+            chunk = min(STREAM_CHUNK_TOKENS, max_chunk_tokens)
         return generation.Job(
             service,
             grant.label,
@@ -213,54 +218,64 @@
             chunk,
         )
 
-    async def _serve_whole(
-        self, job: generation.Job, grant: keys.Grant, shape: _Shape
+    async def _serve_full(
+        self,
+        job: generation.Job,
+        grant: keys.Grant,
+        response_format: _ResponseFormat,
     ) -> message.Response:
         with self.sessions.open(grant) as session:
             tokens = await session.run(self._collect, job)
         prompt_tokens = len(job.prompt.split())
-        body = shape.whole(" ".join(tokens), prompt_tokens, len(tokens))
+        body = response_format.full_body(
+            " ".join(tokens), prompt_tokens, len(tokens)
+        )
         return message.Response(200, {"content-type": "application/json"}, body)
 
     async def _collect(self, job: generation.Job) -> list[str]:
         started_at = self.clock.monotonic()
         tokens: list[str] = []
-        async with contextlib.aclosing(self.generator.generate(job)) as pieces:
-            async for piece in pieces:
+        async with contextlib.aclosing(
+            self.generator.generate(job)
+        ) as token_chunks:
+            async for token_chunk in token_chunks:
                 if not tokens:
                     self._record(job, metric.Measure.FIRST_TOKEN_MS, started_at)
-                tokens += piece.tokens
+                tokens += token_chunk.tokens
         self._record(job, metric.Measure.TOTAL_MS, started_at)
         return tokens
 
     async def _serve_stream(
-        self, job: generation.Job, grant: keys.Grant, shape: _Shape
+        self,
+        job: generation.Job,
+        grant: keys.Grant,
+        response_format: _ResponseFormat,
     ) -> AsyncIterator[bytes]:
         started_at = self.clock.monotonic()
-        pieces = self.generator.generate(job)
+        token_chunks = self.generator.generate(job)
         is_first = True
         with self.sessions.open(grant) as session:
-            async with contextlib.aclosing(pieces):
-                step = functools.partial(anext, pieces, None)
+            async with contextlib.aclosing(token_chunks):
+                step = functools.partial(anext, token_chunks, None)
                 while True:
                     try:
-                        piece = await session.run(step)
+                        token_chunk = await session.run(step)
                     except errors.ServiceError as e:
                         if is_first:
                             raise
                         yield _error_event(e)
                         return
-                    if piece is None:
+                    if token_chunk is None:
                         break
                     if is_first:
                         self._record(
                             job, metric.Measure.FIRST_TOKEN_MS, started_at
                         )
-                    text = " ".join(piece.tokens)
+                    text = " ".join(token_chunk.tokens)
                     text = text if is_first else " " + text
-                    yield shape.piece(text, is_first)
+                    yield response_format.chunk_event(text, is_first)
                     is_first = False
-        yield shape.end()
+        yield response_format.end_event()
         self._record(job, metric.Measure.TOTAL_MS, started_at)
         yield b"data: [DONE]\n\n"
 
@@ -271,10 +286,10 @@
         self.metrics.record(job.label, job.class_name, measure, elapsed_ms)
 
 
-async def _resume(
+async def _prepend(
     first: bytes, events: AsyncIterator[bytes]
 ) -> AsyncIterator[bytes]:
-    """Yields an event taken beforehand, then the rest."""
+    """Yields an event that was already received, then the remaining ones."""
     async with contextlib.aclosing(events) as rest:
         yield first
         async for event in rest:
@@ -282,6 +297,6 @@
 
 
 def _error_event(error: errors.ServiceError) -> bytes:
-    """Returns the event that ends a stream that cannot become whole."""
+    """Returns the event that ends a stream with an error."""
     error.run = errors.Run.UNKNOWN
     return b"data: " + orjson.dumps(error.to_body()) + b"\n\n"
--- a/src/kingcupscale/serving/generation.py
+++ b/src/kingcupscale/serving/generation.py
@@ -1,4 +1,8 @@
-"""Generating on engines, whole and in order, whatever breaks on the way."""
+"""Generates text on engines and resumes on another engine after a failure.
+
+Owns the attempts of a job and the validation of the engines' responses: the
+tokens of a job are yielded in order, without gaps or repetitions.
+"""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -21,29 +25,29 @@
 from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
-PREFIX_CHARACTERS = 64
-PIECE_TIMEOUT_S = 10.0
-ATTEMPTS = 5
+AFFINITY_PREFIX_CHARACTERS = 64
+CHUNK_TIMEOUT_S = 10.0
+MAX_ATTEMPTS = 5
 ORGANISATION_HEADER = "x-organisation"
 
 
 @attrs.define
 class Job:
-    """What is to be generated.
+    """A text to generate.
 
     Attributes:
         service: Name of the engine service.
-        label: What engines call the organisation.
+        label: The organisation's name towards engines.
         organisation: Name of the organisation.
-        class_name: Name of the class.
-        service_class: Its targets.
-        adapter: Whose weights; empty for the base model.
+        class_name: Name of the service class.
+        service_class: The service class.
+        adapter: The trainer whose weights to use; empty for the base model.
         prompt: Text to continue.
-        seed: Chooses the sample.
-        max_tokens: Most tokens.
-        chunk_tokens: Tokens to gather in a piece.
-        affinity: Draws like jobs to the same engines; empty for the prompt's
-            prefix.
+        seed: Seed of the sampling.
+        max_tokens: Maximum number of tokens.
+        chunk_tokens: Tokens that an engine sends in one chunk.
+        affinity: Jobs of the same affinity key prefer the same engines; empty
+            to use the prompt's prefix as the key.
     """
 
     service: str
@@ -60,14 +64,14 @@
 
 
 @attrs.frozen
-class Piece:
-    """Some tokens of an answer, in order and without gaps.
+class TokenChunk:
+    """Consecutive tokens of a response.
 
     Attributes:
         tokens: The tokens.
         version: Weight version that generated them.
-        server: Engine that did.
-        done: Whether the answer is whole with this piece.
+        server: Name of the engine that generated them.
+        done: Whether this is the last chunk of the response.
     """
 
     tokens: list[str]
@@ -76,17 +80,17 @@
     done: bool
 
 
-class _BrokenError(Exception):
-    """An answer that broke off or is not ours."""
+class _InvalidResponseError(Exception):
+    """An engine's response failed, ended early or had the wrong content."""
 
 
 class Generator:
-    """Runs jobs on engines, going on elsewhere when one breaks.
+    """Runs jobs on engines and resumes them on another engine after a failure.
 
     Args:
         pools: The services.
-        http_client: Carries the requests.
-        counters: Counts the tokens.
+        http_client: Sends the requests.
+        counters: Usage counters.
         metrics: Histograms.
     """
 
@@ -103,144 +107,155 @@
         self.metrics = metrics
         self.clock = pools.clock
 
-    async def generate(self, job: Job) -> AsyncIterator[Piece]:
-        """Yields the pieces of one answer.
+    async def generate(self, job: Job) -> AsyncIterator[TokenChunk]:
+        """Yields the chunks of one response.
 
         Raises:
-            ServiceError: If it cannot be brought to an end.
+            ServiceError: If the response could not be completed.
         """
         pool = self.pools.get(job.service, document.ServiceKind.ENGINE)
-        pool.budget.note_request()
-        held: list[str] = []
+        pool.budget.record_request()
+        received: list[str] = []
         excluded: set[str] = set()
-        for attempt in range(ATTEMPTS):
-            if attempt and not pool.budget.take():
+        for attempt in range(MAX_ATTEMPTS):
+            if attempt and not pool.budget.try_spend():
                 break
-            ticket = self._make_ticket(job, excluded, len(held))
+            slot_request = self._make_slot_request(job, excluded, len(received))
             try:
-                pieces = self._attempt(pool, job, ticket, list(held))
-                async with contextlib.aclosing(pieces):
-                    async for piece in pieces:
-                        held += piece.tokens
-                        yield piece
-                        if piece.done:
+                token_chunks = self._run_attempt(
+                    pool, job, slot_request, list(received)
+                )
+                async with contextlib.aclosing(token_chunks):
+                    async for token_chunk in token_chunks:
+                        received += token_chunk.tokens
+                        yield token_chunk
+                        if token_chunk.done:
                             return
-            except _BrokenError as e:
-                self._note_broken(pool, ticket, str(e))
-                excluded = self._exclude(pool, ticket, excluded)
+            except _InvalidResponseError as e:
+                self._record_failed_attempt(pool, slot_request, str(e))
+                excluded = self._exclude(pool, slot_request, excluded)
         raise errors.ServiceError(
             errors.ResultCode.BACKEND_FAILED,
-            "the engines broke off too often",
-            errors.Run.UNKNOWN if held else errors.Run.NOT_RUN,
+            "expected a complete response, every attempt on an engine failed",
+            errors.Run.UNKNOWN if received else errors.Run.NOT_RUN,
         )
 
-    def _make_ticket(
-        self, job: Job, excluded: set[str], held: int
-    ) -> scheduler.Ticket:
-        affinity = job.affinity or job.prompt[:PREFIX_CHARACTERS]
-        wish = routing.Wish(
+    def _make_slot_request(
+        self, job: Job, excluded: set[str], received: int
+    ) -> scheduler.SlotRequest:
+        affinity = job.affinity or job.prompt[:AFFINITY_PREFIX_CHARACTERS]
+        requirements = routing.ServerRequirements(
             hashing.short(affinity),
             job.service_class.cheap,
             frozenset(excluded),
         )
-        return scheduler.Ticket(
+        return scheduler.SlotRequest(
             job.organisation,
             job.service_class,
-            max(1, job.max_tokens - held),
-            wish,
+            max(1, job.max_tokens - received),
+            requirements,
         )
 
-    def _note_broken(
-        self, pool: services.ServicePool, ticket: scheduler.Ticket, reason: str
+    def _record_failed_attempt(
+        self,
+        pool: services.ServicePool,
+        slot_request: scheduler.SlotRequest,
+        reason: str,
     ) -> None:
         events.log(
             events.Event.ANSWER_REJECTED,
             service=pool.name,
-            server=ticket.server.name if ticket.server else "",
+            server=slot_request.server.name if slot_request.server else "",
             reason=reason,
         )
-        if ticket.server is not None:
-            pool.router.note_failure(ticket.server)
+        if slot_request.server is not None:
+            pool.router.record_failure(slot_request.server)
 
     def _exclude(
         self,
         pool: services.ServicePool,
-        ticket: scheduler.Ticket,
+        slot_request: scheduler.SlotRequest,
         excluded: set[str],
     ) -> set[str]:
-        """Avoids the failed server while there are others."""
-        if ticket.server is not None:
-            excluded = excluded | {ticket.server.name}
-        wish = attrs.evolve(ticket.wish, excluded=frozenset(excluded))
-        return excluded if pool.router.usable(wish) else set()
+        """Excludes the failed server unless no other server is usable."""
+        if slot_request.server is not None:
+            excluded = excluded | {slot_request.server.name}
+        requirements = attrs.evolve(
+            slot_request.requirements, excluded=frozenset(excluded)
+        )
+        return excluded if pool.router.usable(requirements) else set()
 
-    async def _attempt(
+    async def _run_attempt(
         self,
         pool: services.ServicePool,
         job: Job,
-        ticket: scheduler.Ticket,
-        held: list[str],
-    ) -> AsyncIterator[Piece]:
-        asked_at = self.clock.monotonic()
-        async with pool.scheduler.slot(ticket) as state:
-            queue_ms = 1000 * (self.clock.monotonic() - asked_at)
+        slot_request: scheduler.SlotRequest,
+        received: list[str],
+    ) -> AsyncIterator[TokenChunk]:
+        queued_at = self.clock.monotonic()
+        async with pool.scheduler.slot(slot_request) as state:
+            queue_ms = 1000 * (self.clock.monotonic() - queued_at)
             self.metrics.record(
                 job.label, job.class_name, metric.Measure.QUEUE_MS, queue_ms
             )
-            pieces = self._stream(pool, job, state, held)
-            async with contextlib.aclosing(pieces):
-                async for piece in pieces:
-                    yield piece
+            token_chunks = self._stream(pool, job, state, received)
+            async with contextlib.aclosing(token_chunks):
+                async for token_chunk in token_chunks:
+                    yield token_chunk
 
     async def _stream(
         self,
         pool: services.ServicePool,
         job: Job,
         state: routing.ServerState,
-        held: list[str],
-    ) -> AsyncIterator[Piece]:
-        order = _make_order(job, held)
-        request = message.json_request("/generate", order)
+        received: list[str],
+    ) -> AsyncIterator[TokenChunk]:
+        generate_request = _make_request(job, received)
+        request = message.json_request("/generate", generate_request)
         request.headers[ORGANISATION_HEADER] = job.label
-        position = len(held)
-        last: Piece | None = None
-        if not held:
+        position = len(received)
+        last: TokenChunk | None = None
+        if not received:
             self.counters.add(
                 job.label, job.class_name, 1, len(job.prompt.split())
             )
         try:
             async with self.http_client.open(
-                state.server.address, request, PIECE_TIMEOUT_S
+                state.server.address, request, CHUNK_TIMEOUT_S
             ) as response:
                 await _check_status(response)
-                self._note_load(pool, state, response)
-                async with contextlib.aclosing(_lines(response)) as lines:
+                self._record_load(pool, state, response)
+                async with contextlib.aclosing(_split_lines(response)) as lines:
                     async for line in lines:
                         if last is not None:
-                            raise _BrokenError("a piece after the last")
-                        chunk = _read_chunk(line, order, position)
-                        self._count(job, chunk)
+                            raise _InvalidResponseError(
+                                "found a chunk after the last one"
+                            )
+                        chunk = _decode_chunk(line, generate_request, position)
+                        self._count_tokens(job, chunk)
                         position += len(chunk.tokens)
-                        piece = Piece(
+                        token_chunk = TokenChunk(
                             chunk.tokens, chunk.version, state.name, chunk.done
                         )
                         if chunk.done:
-                            last = piece
+                            last = token_chunk
                         else:
-                            yield piece
+                            yield token_chunk
         except httpclient.RequestError as e:
-            raise _BrokenError(e.reason) from e
+            raise _InvalidResponseError(e.reason) from e
         if last is None:
-            raise _BrokenError("the answer ended early")
-        pool.router.note_success(state)
+            raise _InvalidResponseError(
+                "the response ended before its last chunk"
+            )
+        pool.router.record_success(state)
         yield last
 
-    def _count(self, job: Job, chunk: engine.GenerateChunk) -> None:
+    def _count_tokens(self, job: Job, chunk: engine.GenerateChunk) -> None:
         self.counters.add(
             job.label, job.class_name, generated_tokens=len(chunk.tokens)
         )
 
-    def _note_load(
+    def _record_load(
         self,
         pool: services.ServicePool,
         state: routing.ServerState,
@@ -248,10 +263,10 @@
     ) -> None:
         running = response.headers.get(engine.LOAD_HEADER, "").split("/")[0]
         if running.isdigit():
-            pool.router.note_load(state, int(running))
+            pool.router.record_load(state, int(running))
 
 
-def _make_order(job: Job, held: list[str]) -> engine.GenerateRequest:
+def _make_request(job: Job, received: list[str]) -> engine.GenerateRequest:
     return engine.GenerateRequest(
         uuid.uuid4().hex,
         job.adapter,
@@ -260,7 +275,7 @@
         codec.PositiveInt(job.max_tokens),
         job.service_class.priority,
         codec.PositiveInt(job.chunk_tokens),
-        held,
+        received,
     )
 
 
@@ -268,10 +283,10 @@
     if response.status == 200:
         return
     await response.read()
-    raise _BrokenError(f"status {response.status}")
+    raise _InvalidResponseError(f"status {response.status}")
 
 
-async def _lines(response: message.Response) -> AsyncIterator[bytes]:
+async def _split_lines(response: message.Response) -> AsyncIterator[bytes]:
     if response.chunks is None:
         return
     rest = b""
@@ -282,16 +297,18 @@
                 yield line
 
 
-def _read_chunk(
-    line: bytes, order: engine.GenerateRequest, position: int
+def _decode_chunk(
+    line: bytes, generate_request: engine.GenerateRequest, position: int
 ) -> engine.GenerateChunk:
-    """Reads one piece and makes sure that it is the next of our answer."""
+    """Decodes one chunk and checks that it continues this response."""
     try:
         chunk = engine.GenerateChunk(**orjson.loads(line))
     except (orjson.JSONDecodeError, TypeError) as e:
-        raise _BrokenError("an unreadable piece") from e
-    if chunk.request_id != order.request_id:
-        raise _BrokenError("a piece of another answer")
+        raise _InvalidResponseError("a chunk could not be decoded") from e
+    if chunk.request_id != generate_request.request_id:
+        raise _InvalidResponseError("a chunk belongs to another response")
     if chunk.start != position:
-        raise _BrokenError("a piece out of order")
+        raise _InvalidResponseError(
+            "a chunk does not start at the expected token"
+        )
     return chunk
--- a/src/kingcupscale/serving/plainservices.py
+++ b/src/kingcupscale/serving/plainservices.py
@@ -1,4 +1,7 @@
-"""Calls to plain services, each non-idempotent one run at most once."""
+"""Calls to plain services: HTTP backends that generate no text.
+
+Owns the retries. A non-idempotent call runs at most once.
+"""
 
 import uuid
 
@@ -25,7 +28,7 @@
 IDEMPOTENCY_HEADER = "idempotency-key"
 IDEMPOTENCY_KEY_MAX_CHARACTERS = 200
 REQUEST_ID_HEADER = "x-request-id"
-ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 LEAVING_STATUS = 503
 LEAVING_HEADER = "x-leaving"
 
@@ -37,8 +40,8 @@
     Attributes:
         service: Name of the service.
         path: Path at the service.
-        request: What the caller sent.
-        grant: What the caller's key gives access to.
+        request: The caller's request.
+        grant: The access rights of the caller's key.
     """
 
     service: str
@@ -48,15 +51,15 @@
 
 
 class PlainServiceClient:
-    """Carries callers' requests to plain services.
+    """Sends callers' requests to plain services.
 
-    A call goes out again only when it is idempotent or nothing of it left.
+    A failed call is retried only if it is idempotent or was not sent.
 
     Args:
         pools: The services.
-        http_client: Carries the requests.
-        claimer: Makes Idempotency-Keys safe across nodes.
-        counters: Counts the requests.
+        http_client: Sends the requests.
+        claim_store: Claims Idempotency-Keys across nodes.
+        counters: Usage counters.
         metrics: Histograms.
     """
 
@@ -64,25 +67,25 @@
         self,
         pools: services.Services,
         http_client: httpclient.HttpClient,
-        claimer: claims.Claims,
+        claim_store: claims.ClaimStore,
         counters: counter.Counters,
         metrics: metric.Metrics,
     ) -> None:
         self.pools = pools
         self.http_client = http_client
-        self.claimer = claimer
+        self.claim_store = claim_store
         self.counters = counters
         self.metrics = metrics
         self.clock = pools.clock
 
     async def call(self, call: Call) -> message.Response:
-        """Returns the whole answer to one call.
+        """Returns the complete response to one call.
 
         Raises:
-            ServiceError: With ``run`` telling whether it may have run.
+            ServiceError: Its ``run`` says whether the call may have run.
         """
         pool = self.pools.get(call.service, document.ServiceKind.PLAIN)
-        pool.budget.note_request()
+        pool.budget.record_request()
         started_at = self.clock.monotonic()
         response = await self._call_once(pool, call)
         total_ms = 1000 * (self.clock.monotonic() - started_at)
@@ -101,7 +104,7 @@
         if len(text) > IDEMPOTENCY_KEY_MAX_CHARACTERS:
             raise errors.ServiceError(
                 errors.ResultCode.HEADER_INVALID,
-                f"{IDEMPOTENCY_HEADER} may have"
+                f"{IDEMPOTENCY_HEADER}: expected at most"
                 f" {IDEMPOTENCY_KEY_MAX_CHARACTERS} characters",
             )
         if _is_idempotent(pool.service, call.request):
@@ -113,55 +116,59 @@
     async def _call_claimed(
         self, pool: services.ServicePool, call: Call, text: str
     ) -> message.Response:
-        held = await self.claimer.acquire(
+        acquired = await self.claim_store.acquire(
             call.grant.organisation, text, _fingerprint(call)
         )
-        if isinstance(held, message.Response):
-            return held
-        # A caller that disconnects must not leave the outcome unrecorded.
+        if isinstance(acquired, message.Response):
+            return acquired
+        # Record the outcome even if the caller disconnects meanwhile.
         with trio.CancelScope(shield=True):
             try:
                 response = await self._route(pool, call, is_idempotent=False)
             except errors.ServiceError as e:
                 if e.run is errors.Run.NOT_RUN:
-                    await self.claimer.give_back(held)
+                    await self.claim_store.release(acquired)
                 raise
-            await self.claimer.finish(held, response)
+            await self.claim_store.store_response(acquired, response)
         return response
 
     async def _route(
         self, pool: services.ServicePool, call: Call, is_idempotent: bool
     ) -> message.Response:
         excluded: set[str] = set()
-        for attempt in range(ATTEMPTS):
-            if attempt and not pool.budget.take():
+        for attempt in range(MAX_ATTEMPTS):
+            if attempt and not pool.budget.try_spend():
                 break
-            ticket = self._make_ticket(call, excluded)
-            async with pool.scheduler.slot(ticket) as state:
+            slot_request = self._make_slot_request(call, excluded)
+            async with pool.scheduler.slot(slot_request) as state:
                 try:
                     return await self._send(pool, call, state)
                 except httpclient.RequestError as e:
-                    pool.router.note_failure(state)
+                    pool.router.record_failure(state)
                     if e.may_have_been_sent and not is_idempotent:
-                        raise _unknown(e.reason) from e
+                        raise _unknown_outcome(e.reason) from e
                     excluded = {*excluded, state.name}
-            if not pool.router.usable(self._make_wish(excluded)):
+            if not pool.router.usable(self._make_requirements(excluded)):
                 excluded = set()
         run = errors.Run.UNKNOWN if is_idempotent else errors.Run.NOT_RUN
         raise errors.ServiceError(
             errors.ResultCode.BACKEND_REFUSED, run=run, retry_after_s=1
         )
 
-    def _make_wish(self, excluded: set[str]) -> routing.Wish:
-        return routing.Wish(excluded=frozenset(excluded))
+    def _make_requirements(
+        self, excluded: set[str]
+    ) -> routing.ServerRequirements:
+        return routing.ServerRequirements(excluded=frozenset(excluded))
 
-    def _make_ticket(self, call: Call, excluded: set[str]) -> scheduler.Ticket:
+    def _make_slot_request(
+        self, call: Call, excluded: set[str]
+    ) -> scheduler.SlotRequest:
         classes = self.pools.replica.document.classes
-        return scheduler.Ticket(
+        return scheduler.SlotRequest(
             call.grant.organisation,
             classes[call.grant.service_class],
             1,
-            self._make_wish(excluded),
+            self._make_requirements(excluded),
         )
 
     async def _send(
@@ -177,7 +184,7 @@
             request,
             pool.service.timeout_s,
         )
-        if _says_leaving(response):
+        if _is_leaving_response(response):
             state.is_leaving = True
             raise httpclient.RequestError("leaving", may_have_been_sent=False)
         expected = request.headers[REQUEST_ID_HEADER]
@@ -186,12 +193,13 @@
                 events.Event.ANSWER_REJECTED,
                 service=pool.name,
                 server=state.name,
-                reason="an answer to another request",
+                reason="the response belongs to another request",
             )
             raise httpclient.RequestError(
-                "crossed answer", may_have_been_sent=True
+                "the response belongs to another request",
+                may_have_been_sent=True,
             )
-        pool.router.note_success(state)
+        pool.router.record_success(state)
         self.counters.add(call.grant.label, call.grant.service_class, 1)
         headers = {
             name: response.headers[name]
@@ -205,13 +213,16 @@
     return service.idempotent or request.method in SAFE_METHODS
 
 
-def _says_leaving(response: message.Response) -> bool:
-    """Tells a server's own refusal of new work, which has run nothing."""
+def _is_leaving_response(response: message.Response) -> bool:
+    """Returns whether a server refused the call because it is draining.
+
+    Such a call did not run.
+    """
     is_refusal = response.status == LEAVING_STATUS
     return is_refusal and LEAVING_HEADER in response.headers
 
 
-def _unknown(reason: str) -> errors.ServiceError:
+def _unknown_outcome(reason: str) -> errors.ServiceError:
     return errors.ServiceError(
         errors.ResultCode.BACKEND_FAILED, reason, errors.Run.UNKNOWN
     )
--- a/src/kingcupscale/serving/queue.py
+++ b/src/kingcupscale/serving/queue.py
@@ -1,4 +1,4 @@
-"""Order of service: class priority, then fairness among organisations."""
+"""A queue ordered by priority, then fairly among organisations."""
 
 import collections
 from typing import Generic
@@ -11,13 +11,13 @@
 
 @attrs.define(eq=False)
 class Entry(Generic[T]):
-    """Something that waits.
+    """A queued item.
 
     Attributes:
-        item: What waits.
-        priority: Higher is served first.
-        organisation: Whose it is.
-        cost: Tokens it is expected to take.
+        item: The queued item.
+        priority: Items of a higher priority are served first.
+        organisation: The organisation that the item belongs to.
+        cost: Expected cost in tokens.
     """
 
     item: T
@@ -27,60 +27,72 @@
 
 
 class FairQueue(Generic[T]):
-    """Serves the highest priority, and in it whoever was served least.
+    """Serves the highest priority first, and fairly within a priority.
 
-    Each organisation has a virtual time that grows by the tokens it is
-    served. One that comes back after a pause starts at the virtual time of
-    the last service, so that it cannot save up.
+    Implements start-time fair queueing: each organisation has a virtual time
+    that advances by the cost of its served items, and the organisation with
+    the lowest virtual time is served next. An organisation that was idle
+    continues at the virtual time of the last served item, so that it gets no
+    credit for the time it was idle.
+
+    Attributes:
+        waiting: Queued entries by priority and organisation.
+        virtual_times: Virtual time by priority and organisation.
+        min_virtual_times: Virtual time of the last served item, by priority.
+        length: Number of queued entries.
     """
 
     def __init__(self) -> None:
         self.waiting: dict[int, dict[str, collections.deque[Entry[T]]]] = {}
-        self.served: dict[tuple[int, str], float] = {}
-        self.floor: dict[int, float] = {}
+        self.virtual_times: dict[tuple[int, str], float] = {}
+        self.min_virtual_times: dict[int, float] = {}
         self.length = 0
 
     def __len__(self) -> int:
         return self.length
 
     def count(self, priority: int) -> int:
-        """Returns how many wait at a priority."""
+        """Returns the number of queued entries of a priority."""
         return sum(map(len, self.waiting.get(priority, {}).values()))
 
     def push(self, entry: Entry[T]) -> None:
-        """Adds an entry behind those of its organisation."""
+        """Appends an entry to the queue of its organisation."""
         queues = self.waiting.setdefault(entry.priority, {})
         if entry.organisation not in queues:
             queues[entry.organisation] = collections.deque()
-            self._start(entry.priority, entry.organisation)
+            self._init_virtual_time(entry.priority, entry.organisation)
         queues[entry.organisation].append(entry)
         self.length += 1
 
-    def _start(self, priority: int, organisation: str) -> None:
+    def _init_virtual_time(self, priority: int, organisation: str) -> None:
         key = (priority, organisation)
-        floor = self.floor.get(priority, 0.0)
-        self.served[key] = max(self.served.get(key, 0.0), floor)
+        floor = self.min_virtual_times.get(priority, 0.0)
+        self.virtual_times[key] = max(self.virtual_times.get(key, 0.0), floor)
 
     def candidates(self) -> list[Entry[T]]:
-        """Returns each organisation's first entry, the next to serve first."""
+        """Returns the first entry of each organisation in order of service."""
         return [
             queues[organisation][0]
             for priority, queues in sorted(self.waiting.items(), reverse=True)
             for organisation in sorted(
-                queues, key=lambda name: (self.served[(priority, name)], name)
+                queues,
+                key=lambda name: (self.virtual_times[(priority, name)], name),
             )
         ]
 
     def take(self, entry: Entry[T]) -> None:
-        """Removes an entry that is served and charges its cost."""
+        """Removes an entry that is being served and charges its cost."""
         key = (entry.priority, entry.organisation)
-        floor = max(self.floor.get(entry.priority, 0.0), self.served[key])
-        self.floor[entry.priority] = floor
+        floor = max(
+            self.min_virtual_times.get(entry.priority, 0.0),
+            self.virtual_times[key],
+        )
+        self.min_virtual_times[entry.priority] = floor
         self.remove(entry)
         self.charge(entry, entry.cost)
 
     def remove(self, entry: Entry[T]) -> None:
-        """Removes an entry that gives up."""
+        """Removes an entry without charging its cost."""
         queues = self.waiting[entry.priority]
         queues[entry.organisation].remove(entry)
         self.length -= 1
@@ -90,6 +102,6 @@
             del self.waiting[entry.priority]
 
     def charge(self, entry: Entry[T], cost: float) -> None:
-        """Corrects what an organisation was served, in tokens."""
+        """Adds a cost to the virtual time of the entry's organisation."""
         key = (entry.priority, entry.organisation)
-        self.served[key] = self.served.get(key, 0.0) + cost
+        self.virtual_times[key] = self.virtual_times.get(key, 0.0) + cost
--- a/src/kingcupscale/serving/retrybudget.py
+++ b/src/kingcupscale/serving/retrybudget.py
@@ -1,34 +1,37 @@
-"""A budget for retries, so that they cannot become a storm."""
+"""A budget for retries that prevents retry storms."""
 
 from kingcupscale import clock as clocks
 
-RETRY_SHARE = 0.2
-LEAST_PER_S = 2.0
-LARGEST = 50.0
+RETRY_RATIO = 0.2
+MIN_RETRIES_PER_S = 2.0
+MAX_BALANCE = 50.0
 
 
 class RetryBudget:
-    """Allows retries as a share of the requests, and a few besides.
+    """Limits retries to a ratio of the requests plus a minimum rate.
+
+    The budget is a token bucket: each request adds ``RETRY_RATIO`` and each
+    second ``MIN_RETRIES_PER_S``, up to ``MAX_BALANCE``; a retry costs one.
 
     Args:
-        clock: Tells the time.
+        clock: Source of the time.
     """
 
     def __init__(self, clock: clocks.Clock) -> None:
         self.clock = clock
-        self.balance = LARGEST / 2
-        self.filled_at = clock.monotonic()
+        self.balance = MAX_BALANCE / 2
+        self.refilled_at = clock.monotonic()
 
-    def note_request(self) -> None:
-        """Earns a share of a retry."""
-        self.balance = min(LARGEST, self.balance + RETRY_SHARE)
+    def record_request(self) -> None:
+        """Adds the retry ratio of one request to the budget."""
+        self.balance = min(MAX_BALANCE, self.balance + RETRY_RATIO)
 
-    def take(self) -> bool:
-        """Spends one retry if the budget allows it."""
+    def try_spend(self) -> bool:
+        """Takes one retry from the budget; returns whether it was available."""
         now = self.clock.monotonic()
-        earned = LEAST_PER_S * (now - self.filled_at)
-        self.balance = min(LARGEST, self.balance + earned)
-        self.filled_at = now
+        earned = MIN_RETRIES_PER_S * (now - self.refilled_at)
+        self.balance = min(MAX_BALANCE, self.balance + earned)
+        self.refilled_at = now
         if self.balance < 1:
             return False
         self.balance -= 1
--- a/src/kingcupscale/serving/routing.py
+++ b/src/kingcupscale/serving/routing.py
@@ -1,4 +1,8 @@
-"""Choosing a backend server: load, prefix affinity, health, leaving."""
+"""Chooses the backend server for a request.
+
+Owns a node's view of each server: its load, its failures and whether it is
+leaving. A choice considers load, prefix affinity, health and cost.
+"""
 
 from collections.abc import Iterable
 import random
@@ -10,62 +14,66 @@
 from kingcupscale import rendezvous
 from kingcupscale.configuration import document
 
-REPORT_DECAY_S = 2.0
-EJECT_FIRST_S = 1.0
-EJECT_LONGEST_S = 30.0
-CHEAP_SHARE = 0.75
-AFFINITY_CANDIDATES = 2
-BOUNDED_LOAD = 1.25
+LOAD_DECAY_S = 2.0
+MIN_EJECTION_S = 1.0
+MAX_EJECTION_S = 30.0
+CHEAP_SLOT_FRACTION = 0.75
+MAX_AFFINITY_CANDIDATES = 2
+BOUNDED_LOAD_FACTOR = 1.25
 
 
 @attrs.define(eq=False)
 class ServerState:
-    """What a node knows of one backend server.
+    """A node's view of one backend server.
 
     Attributes:
-        name: Its name.
-        server: Its configuration.
-        in_flight: Requests of this node that run on it.
-        others: Requests of other nodes that ran on it at the last report.
-        reported_at: Monotonic time of that report.
-        failures: Failures in a row.
-        ejected_until: Monotonic time before which it gets nothing.
-        is_leaving: Whether it is about to go.
+        name: Name of the server.
+        server: Configuration of the server.
+        in_flight: Number of this node's requests running on the server.
+        other_requests: Number of other nodes' requests in the server's last
+            load report.
+        reported_at: Monotonic time of the last load report.
+        failures: Number of consecutive failures.
+        ejected_until: Monotonic time until which it gets no requests.
+        is_leaving: Whether it is draining before its shutdown.
     """
 
     name: str
     server: document.BackendServer
     in_flight: int = 0
-    others: int = 0
+    other_requests: int = 0
     reported_at: float = 0.0
     failures: int = 0
     ejected_until: float = 0.0
     is_leaving: bool = False
 
     def load(self, now: float) -> float:
-        """Returns requests that run on it, as far as known."""
+        """Returns the estimated number of running requests.
+
+        The weight of the last report falls to zero over ``LOAD_DECAY_S``.
+        """
         age_s = now - self.reported_at
-        weight = max(0.0, 1.0 - age_s / REPORT_DECAY_S)
-        return self.in_flight + self.others * weight
+        weight = max(0.0, 1.0 - age_s / LOAD_DECAY_S)
+        return self.in_flight + self.other_requests * weight
 
     def slots(self) -> int:
-        """Returns how many requests it may get; one while on probation."""
+        """Returns the number of usable slots; one after a failure."""
         return 1 if self.failures else self.server.slots
 
     def utilisation(self, now: float) -> float:
-        """Returns its load as a share of its slots."""
+        """Returns the load divided by the number of slots."""
         return self.load(now) / self.server.slots
 
 
 @attrs.frozen
-class Wish:
-    """What a request asks of a server.
+class ServerRequirements:
+    """A request's requirements of a server.
 
     Attributes:
-        affinity: Digest that draws like requests to the same servers; empty
-            for none.
-        cheap: Whether a server that can be reclaimed will do.
-        excluded: Names of servers that have failed this request.
+        affinity: Digest; requests with the same digest prefer the same
+            servers. Empty for no preference.
+        cheap: Whether a server that the provider may reclaim is acceptable.
+        excluded: Names of servers on which this request has failed.
     """
 
     affinity: str = ""
@@ -74,12 +82,12 @@
 
 
 class Router:
-    """The servers of one service as one node sees them.
+    """The servers of one service, as seen by one node.
 
     Args:
-        node: The node's name, for the log.
-        clock: Tells the time.
-        rng: Chooses among equals.
+        node: Name of the node, for the log.
+        clock: Source of the time.
+        rng: Random source for the choice among servers.
     """
 
     def __init__(
@@ -93,7 +101,7 @@
     def update(
         self, servers: dict[str, document.BackendServer], leaving: set[str]
     ) -> None:
-        """Takes over the configured servers and which of them are leaving."""
+        """Applies the configured servers and the addresses of leaving ones."""
         for name in self.servers.keys() - servers.keys():
             self.servers.pop(name).is_leaving = True
         for name, server in servers.items():
@@ -105,71 +113,87 @@
             is_leaving = server.address in leaving
             self.servers[name].is_leaving |= is_leaving
 
-    def usable(self, wish: Wish) -> list[ServerState]:
-        """Returns servers that may ever take the request, busy or not."""
+    def usable(self, requirements: ServerRequirements) -> list[ServerState]:
+        """Returns the servers that meet the requirements, busy or not.
+
+        Cheap servers are used for other requests only if no regular server is
+        left.
+        """
         servers = [
             state
             for state in self.servers.values()
-            if not state.is_leaving and state.name not in wish.excluded
+            if not state.is_leaving and state.name not in requirements.excluded
         ]
-        if not wish.cheap:
-            lasting = [s for s in servers if not s.server.cheap]
-            return lasting or servers
+        if not requirements.cheap:
+            regular = [s for s in servers if not s.server.cheap]
+            return regular or servers
         return servers
 
-    def choose(self, wish: Wish) -> ServerState | None:
-        """Returns a server with room for a request, or None."""
+    def choose(self, requirements: ServerRequirements) -> ServerState | None:
+        """Returns a server with a free slot for a request, or None."""
         now = self.clock.monotonic()
-        free = [s for s in self.usable(wish) if self._has_room(s, wish, now)]
+        free = [
+            s
+            for s in self.usable(requirements)
+            if self._has_free_slot(s, requirements, now)
+        ]
         if not free:
             return None
-        if wish.cheap:
+        if requirements.cheap:
             free = [s for s in free if s.server.cheap] or free
-        if wish.affinity:
-            return self._choose_near(free, wish.affinity, now)
-        return self._choose_light(free, now)
+        if requirements.affinity:
+            return self._choose_by_affinity(free, requirements.affinity, now)
+        return self._choose_least_loaded(free, now)
 
-    def _has_room(self, state: ServerState, wish: Wish, now: float) -> bool:
+    def _has_free_slot(
+        self, state: ServerState, requirements: ServerRequirements, now: float
+    ) -> bool:
         if now < state.ejected_until:
             return False
         slots = state.slots()
-        if wish.cheap and not state.server.cheap and slots > 1:
-            slots = max(1, int(slots * CHEAP_SHARE))
+        if requirements.cheap and not state.server.cheap and slots > 1:
+            slots = max(1, int(slots * CHEAP_SLOT_FRACTION))
         return state.load(now) < slots
 
-    def _choose_near(
+    def _choose_by_affinity(
         self, free: list[ServerState], affinity: str, now: float
     ) -> ServerState:
-        """Prefers the servers that hold the prefix unless they are loaded."""
+        """Returns a server that probably caches the prefix.
+
+        Falls back to the least loaded server if the preferred ones exceed the
+        mean utilisation by more than ``BOUNDED_LOAD_FACTOR``.
+        """
         by_name = {state.name: state for state in free}
         mean = sum(s.utilisation(now) for s in free) / len(free)
-        bound = BOUNDED_LOAD * mean
-        for name in rendezvous.rank(affinity, by_name)[:AFFINITY_CANDIDATES]:
+        bound = BOUNDED_LOAD_FACTOR * mean
+        for name in rendezvous.rank(affinity, by_name)[
+            :MAX_AFFINITY_CANDIDATES
+        ]:
             if by_name[name].utilisation(now) <= bound:
                 return by_name[name]
-        return self._choose_light(free, now)
+        return self._choose_least_loaded(free, now)
 
-    def _choose_light(
+    def _choose_least_loaded(
         self, free: Iterable[ServerState], now: float
     ) -> ServerState:
         servers = list(free)
         pair = self.rng.sample(servers, min(2, len(servers)))
         return min(pair, key=lambda state: state.utilisation(now))
 
-    def note_load(self, state: ServerState, running: int) -> None:
-        """Takes in a server's own report of how many requests it runs."""
-        state.others = max(0, running - state.in_flight)
+    def record_load(self, state: ServerState, running: int) -> None:
+        """Records a server's report of the number of its running requests."""
+        state.other_requests = max(0, running - state.in_flight)
         state.reported_at = self.clock.monotonic()
 
-    def note_success(self, state: ServerState) -> None:
-        """Ends a server's probation."""
+    def record_success(self, state: ServerState) -> None:
+        """Resets a server's failure count after a success."""
         state.failures = 0
 
-    def note_failure(self, state: ServerState) -> None:
-        """Keeps work from a server for a while, longer each time."""
+    def record_failure(self, state: ServerState) -> None:
+        """Ejects a server, twice as long after each consecutive failure."""
         state.failures += 1
         pause_s = min(
-            EJECT_LONGEST_S, EJECT_FIRST_S * 2 ** (state.failures - 1)
+            MAX_EJECTION_S, MIN_EJECTION_S * 2 ** (state.failures - 1)
         )
         state.ejected_until = self.clock.monotonic() + pause_s
         events.log(
--- a/src/kingcupscale/serving/scheduler.py
+++ b/src/kingcupscale/serving/scheduler.py
@@ -1,4 +1,8 @@
-"""Giving waiting requests a server, in order of service."""
+"""Assigns queued requests to backend servers.
+
+Owns the queue of one service on one node, its admission check and its
+deadlines.
+"""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -12,87 +16,89 @@
 from kingcupscale.serving import queue
 from kingcupscale.serving import routing
 
-TICK_S = 0.1
-SERVICE_TIME_WEIGHT = 0.1
-RETRY_AFTER_LEAST_S = 0.5
+DISPATCH_INTERVAL_S = 0.1
+SERVICE_TIME_SMOOTHING = 0.1
+MIN_RETRY_AFTER_S = 0.5
 
 
 @attrs.define(eq=False)
-class Ticket:
-    """A request for a server.
+class SlotRequest:
+    """A request for a slot on a server.
 
     Attributes:
-        organisation: Whose it is.
-        service_class: Class of the work.
-        cost: Tokens it is expected to take.
-        wish: What it asks of a server.
-        server: The server it was given.
-        given: Set once it has one.
+        organisation: The organisation that the request belongs to.
+        service_class: Class of the request.
+        cost: Expected cost in tokens.
+        requirements: Requirements of the server.
+        server: The assigned server, or None.
+        assigned: Set once a server is assigned.
     """
 
     organisation: str
     service_class: document.ServiceClass
     cost: float
-    wish: routing.Wish
+    requirements: routing.ServerRequirements
     server: routing.ServerState | None = None
-    given: trio.Event = attrs.field(factory=trio.Event)
+    assigned: trio.Event = attrs.field(factory=trio.Event)
 
 
 class Scheduler:
-    """The queue before one service's servers, on one node.
+    """The queue of requests for one service's servers on one node.
 
     Args:
-        router: Knows the servers.
-        clock: Tells the time.
+        router: Chooses the servers.
+        clock: Source of the time.
     """
 
     def __init__(self, router: routing.Router, clock: clocks.Clock) -> None:
         self.router = router
         self.clock = clock
-        self.queue: queue.FairQueue[Ticket] = queue.FairQueue()
-        self.service_s = 0.0
+        self.queue: queue.FairQueue[SlotRequest] = queue.FairQueue()
+        self.mean_service_time_s = 0.0
 
     @contextlib.asynccontextmanager
-    async def slot(self, ticket: Ticket) -> AsyncIterator[routing.ServerState]:
-        """Waits for a server and holds a slot on it.
+    async def slot(
+        self, slot_request: SlotRequest
+    ) -> AsyncIterator[routing.ServerState]:
+        """Waits for a slot on a server and frees it at the end.
 
         Raises:
             ServiceError: ``QUEUE_FULL``, ``NO_SERVER`` or
-                ``DEADLINE_UNMET``; none of them has run.
+                ``DEADLINE_UNMET``; the request has not run.
         """
-        state = await self._wait(ticket)
+        state = await self._wait(slot_request)
         started_at = self.clock.monotonic()
         try:
             yield state
         finally:
             state.in_flight -= 1
-            self._learn(self.clock.monotonic() - started_at)
+            self._update_service_time(self.clock.monotonic() - started_at)
             self.dispatch()
 
-    async def _wait(self, ticket: Ticket) -> routing.ServerState:
-        self._refuse_early(ticket)
+    async def _wait(self, slot_request: SlotRequest) -> routing.ServerState:
+        self._check_admission(slot_request)
         entry = queue.Entry(
-            ticket,
-            ticket.service_class.priority,
-            ticket.organisation,
-            ticket.cost,
+            slot_request,
+            slot_request.service_class.priority,
+            slot_request.organisation,
+            slot_request.cost,
         )
         self.queue.push(entry)
         self.dispatch()
-        if ticket.server is not None:
-            return ticket.server
+        if slot_request.server is not None:
+            return slot_request.server
         try:
-            with trio.move_on_after(ticket.service_class.deadline_s):
-                await ticket.given.wait()
+            with trio.move_on_after(slot_request.service_class.deadline_s):
+                await slot_request.assigned.wait()
         except trio.Cancelled:
-            self._give_up(entry)
+            self._abandon(entry)
             raise
-        if ticket.server is None:
+        if slot_request.server is None:
             self.queue.remove(entry)
-            raise self._refusal(errors.ResultCode.DEADLINE_UNMET)
-        return ticket.server
+            raise self._rejection(errors.ResultCode.DEADLINE_UNMET)
+        return slot_request.server
 
-    def _give_up(self, entry: queue.Entry[Ticket]) -> None:
+    def _abandon(self, entry: queue.Entry[SlotRequest]) -> None:
         state = entry.item.server
         if state is None:
             self.queue.remove(entry)
@@ -100,49 +106,51 @@
             state.in_flight -= 1
             self.dispatch()
 
-    def _refuse_early(self, ticket: Ticket) -> None:
-        service_class = ticket.service_class
-        if not self.router.usable(ticket.wish):
-            raise self._refusal(errors.ResultCode.NO_SERVER)
+    def _check_admission(self, slot_request: SlotRequest) -> None:
+        service_class = slot_request.service_class
+        if not self.router.usable(slot_request.requirements):
+            raise self._rejection(errors.ResultCode.NO_SERVER)
         if self.queue.count(service_class.priority) >= service_class.queue:
-            raise self._refusal(errors.ResultCode.QUEUE_FULL)
+            raise self._rejection(errors.ResultCode.QUEUE_FULL)
         if self.expected_wait_s(service_class) > service_class.deadline_s:
-            raise self._refusal(errors.ResultCode.DEADLINE_UNMET)
+            raise self._rejection(errors.ResultCode.DEADLINE_UNMET)
 
     def expected_wait_s(self, service_class: document.ServiceClass) -> float:
-        """Returns how long a new request of a class would wait, in seconds."""
+        """Returns the expected wait of a new request of a class, in seconds."""
         ahead = sum(
             self.queue.count(priority)
             for priority in self.queue.waiting
             if priority >= service_class.priority
         )
-        servers = self.router.usable(routing.Wish(cheap=True))
+        servers = self.router.usable(routing.ServerRequirements(cheap=True))
         slots = sum(state.slots() for state in servers)
-        return ahead * self.service_s / max(1, slots)
+        return ahead * self.mean_service_time_s / max(1, slots)
 
-    def _refusal(self, code: errors.ResultCode) -> errors.ServiceError:
-        wait_s = len(self.queue) * self.service_s
+    def _rejection(self, code: errors.ResultCode) -> errors.ServiceError:
+        wait_s = len(self.queue) * self.mean_service_time_s
         wait_s /= max(1, len(self.router.servers))
         return errors.ServiceError(
-            code, retry_after_s=max(RETRY_AFTER_LEAST_S, wait_s)
+            code, retry_after_s=max(MIN_RETRY_AFTER_S, wait_s)
         )
 
-    def _learn(self, seconds: float) -> None:
-        self.service_s += SERVICE_TIME_WEIGHT * (seconds - self.service_s)
+    def _update_service_time(self, seconds: float) -> None:
+        self.mean_service_time_s += SERVICE_TIME_SMOOTHING * (
+            seconds - self.mean_service_time_s
+        )
 
     def dispatch(self) -> None:
-        """Gives out servers until nobody who waits can have one."""
+        """Assigns servers until no queued request can get one."""
         while self.queue and self._dispatch_one():
             pass
 
     def _dispatch_one(self) -> bool:
         for entry in self.queue.candidates():
-            state = self.router.choose(entry.item.wish)
+            state = self.router.choose(entry.item.requirements)
             if state is None:
                 continue
             self.queue.take(entry)
             state.in_flight += 1
             entry.item.server = state
-            entry.item.given.set()
+            entry.item.assigned.set()
             return True
         return False
--- a/src/kingcupscale/serving/services.py
+++ b/src/kingcupscale/serving/services.py
@@ -1,4 +1,4 @@
-"""The services a node routes to, kept as the configuration says."""
+"""The services that a node routes to, updated from the configuration."""
 
 import random
 
@@ -12,14 +12,14 @@
 
 
 class ServicePool:
-    """One service on one node.
+    """Routing state of one service on one node.
 
     Attributes:
-        name: The service's name.
-        service: Its configuration.
-        router: Chooses servers.
-        scheduler: Gives requests their turn.
-        budget: Bounds the retries.
+        name: Name of the service.
+        service: Configuration of the service.
+        router: Chooses the servers.
+        scheduler: Queues the requests.
+        budget: Limits the retries.
     """
 
     def __init__(
@@ -36,9 +36,9 @@
     """All services on one node.
 
     Args:
-        replica: The node's configuration.
-        clock: Tells the time.
-        rng: Chooses among equals.
+        replica: The node's replica of the configuration.
+        clock: Source of the time.
+        rng: Random source for the choice among servers.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         replica.listeners.append(self.update)
 
     def update(self) -> None:
-        """Takes over the configuration in force."""
+        """Applies the current configuration."""
         services = self.replica.document.services
         for name in self.pools.keys() - services.keys():
             self.pools.pop(name).router.update({}, set())
@@ -76,10 +76,10 @@
         return configured
 
     def get(self, name: str, kind: document.ServiceKind) -> ServicePool:
-        """Returns a service of a kind.
+        """Returns the service of a name and kind.
 
         Raises:
-            ServiceError: ``ROUTE_UNKNOWN`` if there is none by that name.
+            ServiceError: ``ROUTE_UNKNOWN`` if there is none.
         """
         pool = self.pools.get(name)
         if pool is None or pool.service.kind is not kind:
@@ -90,8 +90,8 @@
         return pool
 
     async def run(self) -> None:
-        """Runs the queues of all services until cancelled."""
+        """Dispatches queued requests of all services until cancelled."""
         while True:
-            await self.clock.sleep(scheduler.TICK_S)
+            await self.clock.sleep(scheduler.DISPATCH_INTERVAL_S)
             for pool in list(self.pools.values()):
                 pool.scheduler.dispatch()
--- a/src/kingcupscale/serving/sessions.py
+++ b/src/kingcupscale/serving/sessions.py
@@ -1,4 +1,8 @@
-"""Open requests: limited by organisation, ended when their key is."""
+"""The open requests of a node.
+
+Limits the open requests of each organisation, and cancels requests whose key
+is withdrawn.
+"""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -21,17 +25,17 @@
     """One open request.
 
     Args:
-        grant: What the request's key gives access to.
+        grant: The access rights of the request's key.
     """
 
     def __init__(self, grant: keys.Grant) -> None:
         self.grant = grant
-        self.is_withdrawn = False
+        self.is_key_withdrawn = False
         self.scopes: set[trio.CancelScope] = set()
 
-    def withdraw(self) -> None:
-        """Ends whatever the request is doing."""
-        self.is_withdrawn = True
+    def cancel(self) -> None:
+        """Cancels the running steps of the request."""
+        self.is_key_withdrawn = True
         for scope in self.scopes:
             scope.cancel()
 
@@ -44,7 +48,7 @@
         with trio.CancelScope() as scope:
             self.scopes.add(scope)
             try:
-                if not self.is_withdrawn:
+                if not self.is_key_withdrawn:
                     return await function(*args)
             finally:
                 self.scopes.discard(scope)
@@ -57,18 +61,18 @@
     """All open requests of one node.
 
     Args:
-        key_ring: Tells which keys are in force.
+        key_ring: Checks which keys are valid.
     """
 
     def __init__(self, key_ring: keys.KeyRing) -> None:
         self.key_ring = key_ring
         self.open_sessions: set[Session] = set()
         self.by_organisation: dict[str, int] = {}
-        key_ring.replica.listeners.append(self.end_withdrawn)
+        key_ring.replica.listeners.append(self.cancel_withdrawn)
 
     @contextlib.contextmanager
     def open(self, grant: keys.Grant) -> Iterator[Session]:
-        """Counts a request while it is open.
+        """Registers a request while it is open.
 
         Raises:
             ServiceError: ``STREAMS_EXCEEDED``.
@@ -78,7 +82,7 @@
         if self.by_organisation.get(organisation, 0) >= limit:
             raise errors.ServiceError(
                 errors.ResultCode.STREAMS_EXCEEDED,
-                f"the limit is {limit} open requests a node",
+                f"expected at most {limit} open requests per node",
                 retry_after_s=RETRY_AFTER_S,
             )
         session = Session(grant)
@@ -101,8 +105,8 @@
         if not count:
             del self.by_organisation[organisation]
 
-    def end_withdrawn(self) -> None:
-        """Ends the requests whose keys are no longer in force."""
+    def cancel_withdrawn(self) -> None:
+        """Cancels the requests whose keys are no longer valid."""
         for session in list(self.open_sessions):
             if not self.key_ring.is_valid(session.grant):
-                session.withdraw()
+                session.cancel()
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -368,12 +368,12 @@
         budget = retrybudget.RetryBudget(virtualtime.VirtualClock())
         taken = 0
         for _ in range(1000):
-            budget.note_request()
-            taken += budget.take() + budget.take()
-        most = retrybudget.LARGEST + 1000 * retrybudget.RETRY_SHARE
+            budget.record_request()
+            taken += budget.try_spend() + budget.try_spend()
+        most = retrybudget.MAX_BALANCE + 1000 * retrybudget.RETRY_RATIO
         self.assertLessEqual(taken, most)
         await trio.sleep(10)
-        self.assertTrue(budget.take())
+        self.assertTrue(budget.try_spend())
 
 
 class PlannedStopTest(unittest.TestCase):
