--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -71,6 +71,9 @@
 
     Attributes:
         active_models: Models whose batches this node runs.
+        progress: The batches that run on this node, by id.
+        prompt_holders: Ids of the engines whose prefix cache holds a group's
+            prompt, by group.
         partial_texts: Events of texts that a run can resume, by item: from
             other nodes' copies, and of batches that this node has released.
         copied_results: Results from other nodes' copies, by batch and item.
@@ -167,12 +170,12 @@
         Returns:
             Whether each of the texts continues the text that is known here.
         """
-        fits = True
+        all_continue = True
         open_samples = {sample.id: sample for sample in self.open_samples()}
         for text in copy.texts:
             known = self.partial_texts.get(text.item, [])
             if not text.continues(known):
-                fits = False
+                all_continue = False
                 continue
             if text.events and text.events[0].number == 1:
                 known = []
@@ -182,8 +185,8 @@
             sample = open_samples.get(text.item)
             if sample is not None:
                 self._apply_copied_progress(sample)
-        self._evict_copies()
-        return fits
+        self._evict_oldest()
+        return all_continue
 
     def _apply_copied_progress(self, sample: samples.Sample) -> None:
         """Applies a copied result or a longer copied text to a sample."""
@@ -203,8 +206,8 @@
             sample.run_scope.cancel()
             sample.events = list(text)
 
-    def _evict_copies(self) -> None:
-        """Removes the oldest copies above the limit."""
+    def _evict_oldest(self) -> None:
+        """Removes the oldest texts and copied results above the limit."""
         for kept in (self.partial_texts, self.copied_results):
             while len(kept) > MAX_KEPT_ITEMS:
                 del kept[next(iter(kept))]
@@ -282,7 +285,7 @@
                 self.partial_texts[sample.id] = list(sample.events)
             if sample.result is not None and progress.record.is_open():
                 self.released_samples.append(sample)
-        self._evict_copies()
+        self._evict_oldest()
         events.log(
             events.Event.BATCH_CLOSED,
             batch=progress.record.batch.id,
@@ -312,10 +315,10 @@
         if route is None:
             return
         now = self.clock.monotonic()
-        listed = {result.item for result in record.results}
+        stored = {result.item for result in record.results}
         progress = Progress(record, {})
         for item in record.batch.items:
-            if item.id not in listed:
+            if item.id not in stored:
                 sample = samples.Sample(item, record, route)
                 sample.waiting_since = now
                 sample.events = self.partial_texts.pop(item.id, [])
--- a/src/kingcupscale/batches/loader.py
+++ b/src/kingcupscale/batches/loader.py
@@ -62,6 +62,13 @@
         clock: Clock for times and pauses.
         current_catalogue: Returns the configuration in force.
         on_load_state: Called with each new state of a load.
+
+    Attributes:
+        loading: Orders in progress, by engine id.
+        not_before: Monotonic times before which engines get no order, by
+            engine id.
+        load_s: Moving average of the seconds that a load takes.
+        assigned: Ids of the engines assigned to each model.
     """
 
     def __init__(
--- a/tests/platform/test_thundering_herd.py
+++ b/tests/platform/test_thundering_herd.py
@@ -23,7 +23,8 @@
 # A twelfth of the bandwidth of a store's link in a large deployment.
 LINK_BYTES_PER_S = 12e6
 # Callers usually allow 2 s and repeat a refused call within that time, so a
-# node has to answer calls after READY_S and return results after READABLE_S.
+# node has to answer calls within READY_S of its start. It has to return results
+# within READABLE_S.
 READY_S = 0.7
 READABLE_S = 2.5
 
