--- a/src/kingcupscale/fakes/network.py
+++ b/src/kingcupscale/fakes/network.py
@@ -221,7 +221,7 @@
     ) -> message.Response:
         arrived = attrs.evolve(request, before_send=message.allow_send)
         with trio.move_on_after(timeout_s):
-            return await server.answer(handler, arrived)
+            return await server.run_handler(handler, arrived)
         raise httpclient.RequestError("timed out", may_have_been_sent=True)
 
     async def _spoil(
@@ -286,7 +286,7 @@
 ) -> None:
     await trio.sleep(LATE_S)
     arrived = attrs.evolve(request, before_send=message.allow_send)
-    response = await server.answer(handler, arrived)
+    response = await server.run_handler(handler, arrived)
     await response.read()
 
 
--- a/src/kingcupscale/web/server.py
+++ b/src/kingcupscale/web/server.py
@@ -50,7 +50,7 @@
         response: message.Response | None = None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_cancel_on_disconnect, nursery, receive)
-            handled = await answer(self.handler, request)
+            handled = await run_handler(self.handler, request)
             await _send_head(handled, send)
             response = handled
             nursery.cancel_scope.cancel()
@@ -109,7 +109,7 @@
         )
 
 
-async def answer(
+async def run_handler(
     handler: message.Handler, request: message.Request
 ) -> message.Response:
     """Returns a handler's response; errors become error responses."""
--- a/tests/platform/endlessserver.py
+++ b/tests/platform/endlessserver.py
@@ -18,7 +18,7 @@
 OK = b"HTTP/1.1 200 OK\r\n" + SIGNED
 CHUNKED = OK + b"Transfer-Encoding: chunked\r\n\r\n"
 EARLY_HINTS = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
-WHOLE = OK + b"Content-Length: 4\r\n\r\nfine"
+COMPLETE_RESPONSE = OK + b"Content-Length: 4\r\n\r\nfine"
 
 
 def _chunk(data):
@@ -40,8 +40,8 @@
     "body_until_the_end": (OK + b"Connection: close\r\n\r\n", PIECE),
     "event": (CHUNKED + _chunk(b"id: 1\ndata: "), _chunk(PIECE)),
     "events": (CHUNKED, None),
-    "behind_an_answer": (WHOLE, PIECE),
-    "copies_of_an_answer": (WHOLE, WHOLE * 50),
+    "behind_an_answer": (COMPLETE_RESPONSE, PIECE),
+    "copies_of_an_answer": (COMPLETE_RESPONSE, COMPLETE_RESPONSE * 50),
 }
 
 
@@ -111,12 +111,12 @@
                 name = re.search(rb"(?i)request-id: (\S+)", request)[1]
                 body = b"answer to " + name
                 head = OK % {b"id": name}
-                whole = head + b"Content-Length: %d\r\n\r\n%s" % (
+                response = head + b"Content-Length: %d\r\n\r\n%s" % (
                     len(body),
                     body,
                 )
                 self.duplicates += bool(last)
-                await stream.send_all(last + whole)
-                last, request = whole, b""
+                await stream.send_all(last + response)
+                last, request = response, b""
         except trio.BrokenResourceError:
             self.closed += 1
--- a/tests/platform/fakeservers.py
+++ b/tests/platform/fakeservers.py
@@ -73,12 +73,12 @@
         ]
 
     async def __call__(self, request):
-        response = await self.answer(request)
+        response = await self.handle(request)
         if self.is_leaving:
             response.headers[names.SERVER_LEAVING] = "1"
         return response
 
-    async def answer(self, request):
+    async def handle(self, request):
         expected = request.headers.get(names.EXPECT_SERVER, self.id)
         if expected != self.id:
             return message.Response(421, {names.SERVER_ID: self.id})
--- a/tests/platform/test_calls.py
+++ b/tests/platform/test_calls.py
@@ -40,10 +40,12 @@
         async with harness.launch(nodes=1) as site:
             for name in ("p1", "p2"):
                 server = site.servers[name]
-                answer = server.run
+                original_run = server.run
 
-                async def strip_header(request, answer=answer, name=name):
-                    response = await answer(request)
+                async def strip_header(
+                    request, original_run=original_run, name=name
+                ):
+                    response = await original_run(request)
                     if name in affected:
                         del response.headers[field]
                     return response
@@ -60,11 +62,11 @@
             seen = []
             for name in ("p1", "p2"):
                 server = site.servers[name]
-                answer = server.run
+                original_run = server.run
 
-                async def record_headers(request, answer=answer):
+                async def record_headers(request, original_run=original_run):
                     seen.append(request.headers)
-                    return await answer(request)
+                    return await original_run(request)
 
                 server.run = record_headers
             response = await site.call(
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -138,7 +138,7 @@
                 headers = {names.SERVER_ID: "px", names.SERVER_LEAVING: "1"}
                 return message.Response(421, headers)
 
-            server.answer = answer_as_another
+            server.handle = answer_as_another
             await _call(site)
             known = site.nodes[0].runtime.server_registry.servers["p2"]
             self.assertFalse(known.is_leaving)
@@ -154,7 +154,7 @@
                 headers = {names.SIGNATURE: "x", names.REQUEST_ID: "earlier"}
                 return message.Response(200, headers, b"{}")
 
-            server.answer = answer_with_a_copy
+            server.handle = answer_with_a_copy
             order = serverclient.VersionOrder(harness.MODEL, 2, True, HOLDER, 0)
             with self.assertRaises(serverclient.ServerError) as caught:
                 await node.dependencies.servers.order(
@@ -164,7 +164,7 @@
 
     @virtual.on_virtual_time
     async def test_each_node_stops_by_its_own_responses(self):
-        """Each node sends at most one request, whose response tells it."""
+        """Each node sends at most one request before it knows."""
         async with harness.launch(nodes=6) as site:
             server = site.servers["p2"]
             server.is_leaving = True
--- a/tests/test_web_server.py
+++ b/tests/test_web_server.py
@@ -122,12 +122,12 @@
         @on_sockets
         async def check(self, address, handler, stop):
             stream = await _send_raw(address, data)
-            answer = await _read_all(stream)
+            response = await _read_all(stream)
             await stream.aclose()
-            self.assertIn(f"HTTP/1.1 {code.status}".encode(), answer)
-            body = orjson.loads(answer.partition(b"\r\n\r\n")[2])
+            self.assertIn(f"HTTP/1.1 {code.status}".encode(), response)
+            body = orjson.loads(response.partition(b"\r\n\r\n")[2])
             self.assertEqual(body["error"]["code"], code.number)
-            self.assertNotIn(b"secret", answer)
+            self.assertNotIn(b"secret", response)
 
         check(self)
 
@@ -135,8 +135,8 @@
     async def test_endless_headers_are_rejected(self, address, handler, stop):
         head = b"GET / HTTP/1.1\r\nhost: a\r\nx: " + b"y" * 50000
         stream = await _send_raw(address, head)
-        answer = await stream.receive_some()
-        self.assertRegex(answer, rb"^HTTP/1.1 4\d\d")
+        response = await stream.receive_some()
+        self.assertRegex(response, rb"^HTTP/1.1 4\d\d")
         await stream.aclose()
 
     @on_sockets
