--- a/src/kingcupscale/usage/__init__.py
+++ b/src/kingcupscale/usage/__init__.py
@@ -1,1 +1,1 @@
-"""Counting what organisations use, and reporting each window once."""
+"""Counts what organisations use and reports each usage window once."""
--- a/src/kingcupscale/usage/counter.py
+++ b/src/kingcupscale/usage/counter.py
@@ -1,4 +1,9 @@
-"""Usage counters that only grow and merge without coordination."""
+"""Grow-only usage counters, which nodes merge without coordination.
+
+Each node counts what it serves and holds the counters of other nodes as well.
+Merging takes the maximum per counter (a state-based grow-only counter), so
+deltas may arrive late, repeatedly and in any order.
+"""
 
 import attrs
 
@@ -11,10 +16,10 @@
 
 @attrs.frozen
 class Row:
-    """The totals of one organisation and class at one incarnation.
+    """The totals of one organisation and class, counted by one incarnation.
 
     Attributes:
-        incarnation: ``node/number`` of the node's run that counted.
+        incarnation: ``node/number`` of the run of the node that counted.
         organisation: Label of the organisation.
         service_class: Name of the class.
         totals: Requests, prompt tokens and generated tokens since the start
@@ -28,17 +33,21 @@
 
     @property
     def key(self) -> CounterKey:
-        """Incarnation, organisation and class."""
+        """The counter key: incarnation, organisation and class."""
         return (self.incarnation, self.organisation, self.service_class)
 
     def to_tuple(self) -> Totals:
-        """Returns the totals as counters hold them."""
+        """Returns the totals as a tuple."""
         return (self.totals[0], self.totals[1], self.totals[2])
 
 
 @attrs.frozen
 class CounterDelta:
-    """Rows that travel between nodes."""
+    """Rows that one node sends to another.
+
+    Attributes:
+        rows: The rows, ordered by key.
+    """
 
     rows: list[Row]
 
@@ -46,11 +55,15 @@
 class Counters:
     """The totals of all incarnations known to one node.
 
-    Each key is written by one incarnation only and only grows, so merging
-    takes the larger value and any order of arrival gives the same.
+    The totals of a key are increased by one incarnation only and never
+    decrease. Merging therefore takes the larger value, and the result does not
+    depend on the order in which deltas arrive.
 
     Args:
-        incarnation: The node's own.
+        incarnation: The incarnation of this node.
+
+    Attributes:
+        totals_by_key: The totals of all known incarnations.
     """
 
     def __init__(self, incarnation: str) -> None:
@@ -65,7 +78,7 @@
         prompt_tokens: int = 0,
         generated_tokens: int = 0,
     ) -> None:
-        """Counts something this node served."""
+        """Adds usage that this node served."""
         key = (self.incarnation, organisation, service_class)
         old = self.totals_by_key.get(key, ZERO_TOTALS)
         self.totals_by_key[key] = (
@@ -75,13 +88,17 @@
         )
 
     def merge(self, delta: CounterDelta) -> None:
-        """Takes in rows from another node."""
+        """Merges rows from another node."""
         for row in delta.rows:
             known = self.totals_by_key.get(row.key)
             self.totals_by_key[row.key] = merge_totals(known, row.to_tuple())
 
     def delta(self, known: dict[CounterKey, Totals]) -> CounterDelta:
-        """Returns the rows that differ from what a receiver knows."""
+        """Returns the rows that differ from the totals a receiver has.
+
+        Args:
+            known: The receiver's totals; empty to get all rows.
+        """
         return CounterDelta(
             [
                 Row(*key, list(totals))
@@ -92,7 +109,7 @@
 
 
 def merge_totals(known: Totals | None, received: Totals) -> Totals:
-    """Returns the larger of two readings of one key."""
+    """Returns the maximum of two values of one counter, per element."""
     if known is None:
         return received
     return (
--- a/src/kingcupscale/usage/counterreplication.py
+++ b/src/kingcupscale/usage/counterreplication.py
@@ -1,4 +1,8 @@
-"""Copying counters to other nodes before a crash can take them."""
+"""Replicates a node's usage counters, so that a crash does not lose them.
+
+A node regularly sends its counters to two other nodes. A node that reports
+usage fetches the counters of all members and merges them.
+"""
 
 from kingcupscale import clock as clocks
 from kingcupscale import codec
@@ -13,14 +17,17 @@
 
 
 class CounterReplicator:
-    """Keeps copies of a node's counters on two others.
+    """Keeps replicas of a node's counters on two other nodes.
 
     Args:
         counters: The node's counters.
-        members: The members it knows.
-        peers: Calls them.
-        service: Where the handlers are offered.
-        clock: Tells the time.
+        members: The cluster members known to the node.
+        peers: Calls other members.
+        service: The peer service on which the handlers are registered.
+        clock: The clock.
+
+    Attributes:
+        known: By member, the totals that this node has sent to it.
     """
 
     def __init__(
@@ -49,25 +56,26 @@
         return peer_pb2.Usage(counters=codec.encode(self.counters.delta({})))
 
     def replica_holders(self) -> list[membership.Member]:
-        """Returns the members that keep copies for this node."""
+        """Returns the members that hold replicas of this node's counters."""
         ranked = self.members.ranked(f"usage/{self.members.me.name}")
         others = [m for m in ranked if m.name != self.members.me.name]
         return others[:REPLICA_COUNT]
 
     async def run(self) -> None:
-        """Copies what has changed until cancelled."""
+        """Replicates changed counters until cancelled."""
         while True:
             await self.replicate(own_only=True)
             await self.clock.sleep(COPY_INTERVAL_S)
 
     async def replicate(self, own_only: bool) -> bool:
-        """Copies to both collectors what they lack.
+        """Sends both replica holders the rows that they lack.
 
         Args:
-            own_only: Leave out what this node keeps for others.
+            own_only: Send only rows that this node counted itself. A holder
+                that has not received anything yet gets all rows.
 
         Returns:
-            Whether at least one collector has everything.
+            Whether at least one holder has received all rows to be sent.
         """
         holders = self.replica_holders()
         names = {member.name for member in holders}
@@ -99,7 +107,7 @@
         return True
 
     async def fetch_all(self) -> None:
-        """Takes in the counters of every member in reach."""
+        """Fetches and merges the counters of every reachable member."""
         for member in self.members.others():
             try:
                 reply = await self.peers.call(
--- a/src/kingcupscale/usage/countsender.py
+++ b/src/kingcupscale/usage/countsender.py
@@ -1,4 +1,7 @@
-"""Counts on their way to the node that reports usage."""
+"""Sends usage counts to the node that holds the usage duty.
+
+Also handles the counts that other nodes send when this node holds the duty.
+"""
 
 from kingcupscale import events
 from kingcupscale.fleet import peers
@@ -9,11 +12,12 @@
 
 
 class PeerCountSender:
-    """A ``CountSender`` that asks who holds the duty of reporting.
+    """A ``CountSender`` that sends counts to the holder of the usage duty.
 
     Args:
-        others: The other nodes, and who holds a duty.
-        reporter: This node's part in reporting.
+        others: Finds the holder of a duty, and the addresses of other nodes.
+        reporter: This node's reporter, which receives counts while this node
+            holds the duty.
         client: Sends counts to other nodes.
     """
 
@@ -28,34 +32,41 @@
         self.client = client
 
     def holder(self) -> str:
-        """Returns who reports, told apart by lease; empty for nobody."""
+        """Returns the reporting node and its lease; empty if there is none."""
         return self.peers.holder_and_lease(windows.DUTY)
 
     async def send(self, counted: dict[int, dict[str, int]]) -> bool:
-        """Tells whole counts by window; whether they were taken."""
+        """Sends the total counts of windows to the reporting node.
+
+        Returns:
+            Whether the reporting node accepted them.
+        """
         name = self.peers.holder(windows.DUTY)
         if name == self.peers.node:
-            return self._take(name, counted)
+            return self._receive(name, counted)
         address = self.peers.addresses().get(name)
         if address is None:
             return False
-        by_window = {str(window): found for window, found in counted.items()}
-        told = counts.Counts(self.peers.node, by_window)
+        by_window = {str(window): total for window, total in counted.items()}
+        body = counts.Counts(self.peers.node, by_window)
         try:
-            await self.client.send(address, told)
+            await self.client.send(address, body)
         except calls.PeerError as e:
             events.log(events.Event.PEER_SILENT, peer=name, reason=e.reason)
             return False
         return True
 
     def handle(self, request: message.Request) -> message.Response:
-        """Takes over what another node tells, if this one reports."""
-        told = counts.decode(request.body)
-        counted = {int(window): found for window, found in told.windows.items()}
-        is_taken = self._take(told.node, counted)
-        return message.Response(200 if is_taken else 503)
+        """Accepts the counts of another node if this node holds the duty.
+
+        Responds with status 503 otherwise.
+        """
+        body = counts.decode(request.body)
+        counted = {int(window): total for window, total in body.windows.items()}
+        is_accepted = self._receive(body.node, counted)
+        return message.Response(200 if is_accepted else 503)
 
-    def _take(self, node: str, counted: dict[int, dict[str, int]]) -> bool:
+    def _receive(self, node: str, counted: dict[int, dict[str, int]]) -> bool:
         if not self.reporter.duty_lock.is_held():
             return False
         self.reporter.receive(node, counted)
--- a/src/kingcupscale/usage/reporting.py
+++ b/src/kingcupscale/usage/reporting.py
@@ -1,4 +1,9 @@
-"""The duty that reports usage windows, each with one set of figures."""
+"""The duty that reports the usage windows of one shard.
+
+Organisations are divided among shards. The holder of a shard's lease computes
+the figures of each window, writes them to a ledger in the key-value service and
+sends them to the usage intake. The figures of a window never change.
+"""
 
 import attrs
 
@@ -20,13 +25,13 @@
 
 @attrs.frozen
 class Window:
-    """One window.
+    """One usage window.
 
     Attributes:
-        window: Number of the window; its end is (number + 1) times its length
-            since 1970, in UTC.
-        figures: What is reported, never changed.
-        sent: Whether the intake has taken the report.
+        window: Number of the window; it ends (number + 1) times its length
+            after 1970-01-01T00:00Z.
+        figures: The reported figures, which never change.
+        sent: Whether the intake has accepted the report.
     """
 
     window: int
@@ -36,12 +41,12 @@
 
 @attrs.frozen
 class Ledger:
-    """What the store holds of one shard.
+    """The stored ledger of one shard.
 
     Attributes:
         windows: The latest windows, in order.
-        reported: Totals that all windows so far have reported.
-        token: Unique to the write.
+        reported: The totals covered by all windows so far.
+        token: A value unique to this write.
     """
 
     windows: list[Window]
@@ -50,21 +55,22 @@
 
 
 class UsageDuty:
-    """Reports the windows of one shard.
+    """Reports the usage windows of one shard.
 
-    The figures of a window enter the ledger before they are sent, so whoever
-    sends the window sends the same. Every write is conditional on the ledger
-    it was worked out from, so a former holder that wakes up late cannot add a
-    window. Counts that come to light later go into the next window.
+    The figures of a window are written to the ledger before they are sent, so
+    every holder that sends the window sends the same figures. Every write is
+    conditional on the ledger version that it was computed from, so a former
+    holder that was paused cannot add a window. Counts that arrive after the
+    figures of their window were written go into the next window.
 
     Args:
         shard: Number of the shard.
-        shards: How many there are.
+        shards: The number of shards.
         lease: The shard's lease.
         store: The key-value service.
-        intake: Takes the reports.
-        replicator: Brings the counters together.
-        clock: Tells the time.
+        intake: The service that accepts usage reports.
+        replicator: Fetches the counters of all members.
+        clock: The clock.
         window_s: Length of a window in seconds.
     """
 
@@ -92,18 +98,18 @@
 
     @property
     def key(self) -> str:
-        """Where the ledger of this shard is stored."""
+        """The key of this shard's ledger in the store."""
         return f"{PREFIX}{self.shard}"
 
     async def take_over(self) -> None:
-        """Reads the ledger that former holders wrote."""
+        """Reads the ledger written by former holders."""
         entry = await self.store.get(self.key)
         if entry is not None:
             self.ledger = codec.decode(Ledger, entry.value)
             self.version = entry.version
 
     async def run_once(self) -> None:
-        """Adds the window that has ended, and sends what is not sent."""
+        """Adds the window that ended last, and sends all unsent windows."""
         ended = int(self.clock.now().timestamp() // self.window_s) - 1
         windows = self.ledger.windows
         newest = windows[-1].window if windows else 0
@@ -115,7 +121,7 @@
                 await self._send(window)
 
     def unsent(self) -> list[int]:
-        """Returns the numbers of windows not yet taken by the intake."""
+        """Returns the numbers of windows that the intake has not accepted."""
         return [w.window for w in self.ledger.windows if not w.sent]
 
     async def _write(self, ledger: Ledger) -> None:
@@ -124,7 +130,9 @@
             self.store, self.key, text, self.version
         )
         if not answer.written:
-            raise journal.JournalError("another holder has written the ledger")
+            raise journal.JournalError(
+                "usage ledger was written by another holder"
+            )
         self.ledger = ledger
         self.version = answer.version
 
--- a/src/kingcupscale/usage/windows.py
+++ b/src/kingcupscale/usage/windows.py
@@ -1,4 +1,9 @@
-"""Usage by window of the wall clock, from counts of all nodes to one report."""
+"""Counts usage by window of the wall clock, and reports each window once.
+
+Each node counts the requests of its organisations (``WindowCounter``) and sends
+the counts to the node that holds the usage duty. That node adds up the counts
+of all nodes and reports the sums (``WindowReporter``).
+"""
 
 from typing import Protocol
 
@@ -16,27 +21,27 @@
 FIGURES_PREFIX = "kingcupscale/usage/figures/"
 DUTY = "usage"
 
-# After a window's end, requests that began in it may still be answered, and
-# clocks differ a little.
+# Counts of a window are sent this long after its end: requests that started in
+# it may still be in progress, and the clocks of nodes differ slightly.
 COUNT_DELAY_S = 1.0
-# Share of the time until a report is late after which it is put together,
-# whoever's counts are missing.
+# A window is summed up once this fraction of the time until its report is late
+# has passed, even if the counts of some nodes are missing.
 COLLECT_FRACTION = 0.4
-# A node that begins to report waits so long for what the others told the one
-# before it.
+# A node that acquires the usage duty waits this long before it reports, so that
+# other nodes can resend the counts that they sent to the previous holder.
 RESEND_WAIT_S = 2.0
-# Stands for the store where it is noted who was told.
+# Marks counts in ``WindowCounter.flushed_to`` that were written to the store.
 IN_STORE = "store"
-# Windows that are kept in the store and looked after, the newest ones.
+# Number of most recent windows that are kept and still reported.
 WINDOWS_KEPT = 12
 
 
 class ReportError(Exception):
-    """A report that the intake did not take, or may not have.
+    """A report that the intake rejected, or may not have received.
 
     Args:
-        reason: What went wrong.
-        is_fenced: Whether a newer holder has reported.
+        reason: The cause.
+        is_fenced: Whether the intake has a report by a newer holder.
     """
 
     def __init__(self, reason: str, is_fenced: bool) -> None:
@@ -46,48 +51,54 @@
 
 
 class Intake(Protocol):
-    """Takes usage reports."""
+    """Accepts usage reports."""
 
     async def report(
         self, window: int, counts: dict[str, int], holder: locks.Holder
     ) -> None:
-        """Sends one window's figures.
+        """Sends the figures of one window.
 
         Raises:
-            ReportError: If it is not known to have taken them.
+            ReportError: If the intake did not confirm them.
         """
         ...
 
 
 class CountSender(Protocol):
-    """Tells the node that reports usage what this one has counted."""
+    """Sends this node's counts to the node that reports usage."""
 
     def holder(self) -> str:
-        """Returns who reports, told apart by lease; empty for nobody."""
+        """Returns the reporting node and its lease; empty if there is none."""
         ...
 
     async def send(self, counted: dict[int, dict[str, int]]) -> bool:
-        """Tells whole counts by window; whether they were taken."""
+        """Sends the total counts of windows to the reporting node.
+
+        Returns:
+            Whether the reporting node accepted them.
+        """
         ...
 
 
 class WindowCounter:
-    """What one node's organisations began, by window.
+    """Counts the requests that organisations start on one node, by window.
 
-    Counts go to the node that reports them, and again to the next one if that
-    changes; without one, and at a stop, they go into the store.
+    Counts are sent to the node that holds the usage duty, and sent again when
+    the holder changes. If no node holds the duty or the holder does not accept
+    them, and when this node stops, they are written to the store.
 
     Args:
-        mirror: Where the counts are shared.
-        clock: Tells the time.
+        mirror: The mirror of the store to which counts are written.
+        clock: The clock.
         node: The node's name.
         window_s: Length of a window in seconds.
-        count_sender: Tells the node that reports.
+        count_sender: Sends counts to the node that reports usage.
 
     Attributes:
         counts: Requests by organisation, by window.
-        flushed: What has been shared, by window.
-        flushed_to: Whom it was told, by window; ``IN_STORE`` for the store.
+        flushed: The counts that were sent or written last, by window.
+        flushed_to: The holder to which they were sent, by window; ``IN_STORE``
+            if they were written to the store.
     """
 
     def __init__(
@@ -108,23 +119,27 @@
         self.flushed_to: dict[int, str] = {}
 
     def window_at(self, seconds: float) -> int:
-        """Returns the window of a time in seconds since 1970."""
+        """Returns the window of a Unix time in seconds."""
         return int(seconds // self.window_s)
 
     def count_started(self, organisation: str) -> None:
-        """Counts a request that begins now."""
+        """Counts a request that starts now."""
         window = self.window_at(self.clock.now().timestamp())
         counts = self.counts.setdefault(window, {})
         counts[organisation] = counts.get(organisation, 0) + 1
 
     async def flush(self, is_last: bool = False) -> None:
-        """Shares the counts of ended windows, or of all at the last.
+        """Sends or writes the counts of ended windows that have changed.
+
+        The total count of a window is sent each time, so repeating it is safe,
+        even while another write is in progress.
 
-        What is shared is always a window's whole count, so that it does no
-        harm to share it again, also while another write is under way.
+        Args:
+            is_last: Write the counts of all windows to the store, as the node
+                stops.
 
         Raises:
-            StoreError: If the store cannot be reached; they are kept.
+            StoreError: If the store cannot be reached; the counts are kept.
         """
         now_s = self.clock.now().timestamp()
         ended = self.window_at(now_s - COUNT_DELAY_S)
@@ -166,16 +181,26 @@
 class WindowReporter:
     """Reports each window once, with figures that never change.
 
-    The figures are written under the condition that the window has none yet,
-    before they are sent; whoever sends it later sends the same.
+    The figures of a window are written to the store before they are sent, on
+    the condition that the window has none yet. A holder that sends the window
+    again therefore sends the same figures.
 
     Args:
-        duty_lock: The duty.
-        mirror: Where counts and figures are shared.
-        intake: Takes the reports.
-        clock: Tells the time.
+        duty_lock: The lock on the usage duty.
+        mirror: The mirror of the store that holds counts and figures.
+        intake: The service that accepts usage reports.
+        clock: The clock.
         window_s: Length of a window in seconds.
-        late_s: Seconds after its end when a report is late.
+        late_s: Seconds after the end of a window when its report is late.
+
+    Attributes:
+        reported: Windows that need no further report: the intake has accepted
+            a report, from this node or from a newer holder.
+        first_window: The oldest window to report; ``None`` until it is known.
+        received: The counts that nodes sent, by window and node.
+        fencing_token: Fencing token under which ``acquired_at`` was set.
+        acquired_at: Monotonic time when this node noticed that it had acquired
+            the duty.
     """
 
     def __init__(
@@ -200,12 +225,12 @@
         self.acquired_at = 0.0
 
     def receive(self, node: str, counted: dict[int, dict[str, int]]) -> None:
-        """Takes over a node's whole counts by window."""
+        """Stores the total counts of a node, by window."""
         for window, counts in counted.items():
             self.received.setdefault(window, {})[node] = counts
 
     def _has_waited_for_counts(self) -> bool:
-        """Tells whether the others had the time to tell this node."""
+        """Returns whether other nodes have had time to resend their counts."""
         now = self.clock.monotonic()
         if self.fencing_token != self.duty_lock.fencing_token:
             self.fencing_token = self.duty_lock.fencing_token
@@ -235,7 +260,7 @@
             del self.received[window]
 
     def _first_window(self, due: int) -> int:
-        """Returns the oldest window of which anything is known."""
+        """Returns the oldest window that has counts or figures."""
         windows = [
             int(entry.key.removeprefix(prefix).partition("/")[0])
             for prefix in (COUNTS_PREFIX, FIGURES_PREFIX)
@@ -269,7 +294,11 @@
         )
 
     async def _commit_figures(self, window: int) -> dict[str, int] | None:
-        """Returns a window's figures, fixed in the store before they go."""
+        """Returns the figures of a window, as committed to the store.
+
+        Returns:
+            The figures, or ``None`` if their entry was removed.
+        """
         key = f"{FIGURES_PREFIX}{window}"
         entry = self.mirror.entries.get(key)
         if entry is None:
@@ -291,13 +320,13 @@
         return orjson.loads(entry.value)
 
     def _sum_counts(self, window: int) -> dict[str, int]:
-        """Returns the sum over all nodes, told or written."""
+        """Returns the sum of the counts of all nodes, sent or written."""
         prefix = f"{COUNTS_PREFIX}{window}/"
         by_node = dict(self.received.get(window, {}))
         for entry in self.mirror.entries_under(prefix):
             counts = decoding.decode_entry(entry, _decode_counts) or {}
             node = entry.key.removeprefix(prefix)
-            # Both are the node's whole count; the larger one is the later.
+            # Both are total counts of the node, so the larger one is newer.
             received = by_node.get(node, {})
             by_node[node] = max(received, counts, key=lambda c: sum(c.values()))
         totals: dict[str, int] = {}
