--- a/src/kingcupscale/duties/__init__.py
+++ b/src/kingcupscale/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Work that one process at a time may do: leases, fencing, journals."""
+"""Duties that one node performs at a time: leases, fencing and journals."""
--- a/src/kingcupscale/duties/candidates.py
+++ b/src/kingcupscale/duties/candidates.py
@@ -1,4 +1,7 @@
-"""Who should try for a duty's lease: a few, the same for all to see."""
+"""Selects the nodes that try to acquire the lease of a duty.
+
+All nodes with the same membership view select the same few candidates.
+"""
 
 from kingcupscale.peering import members as membership
 
@@ -8,13 +11,14 @@
 def is_candidate(
     duty: str, members: membership.Members, zone: str = ""
 ) -> bool:
-    """Tells whether this node should try for a duty's lease.
+    """Returns whether this node should try to acquire the lease of a duty.
 
-    Two nodes that both think so are harmless: the store lets one through.
+    Nodes with different membership views may select different candidates. This
+    is harmless, as the store grants the lease to only one node.
 
     Args:
         duty: Name of the duty.
-        members: The members it knows.
-        zone: Availability zone whose nodes come first; empty for any.
+        members: The cluster members known to this node.
+        zone: Availability zone whose nodes are preferred; empty for any.
     """
     return members.me in members.ranked(duty, zone)[:MAX_CANDIDATES]
--- a/src/kingcupscale/duties/journal.py
+++ b/src/kingcupscale/duties/journal.py
@@ -1,4 +1,8 @@
-"""The order journal: what was about to be ordered, and what became of it."""
+"""The order journal: a write-ahead log of the orders of a duty.
+
+Orders are recorded before they are sent, and their outcomes afterwards, so that
+a later holder of the duty can complete orders that were left pending.
+"""
 
 import datetime
 import enum
@@ -10,11 +14,11 @@
 from kingcupscale.providers import keyvalue
 
 PREFIX = "journal/"
-SETTLED_KEPT = 64
+MAX_SETTLED_ORDERS = 64
 
 
 class OrderState(enum.Enum):
-    """How far an order has come."""
+    """The state of an order."""
 
     INTENDED = "intended"
     DONE = "done"
@@ -26,14 +30,14 @@
     """One order.
 
     Attributes:
-        order_id: The same at every sending.
-        epoch: Epoch of the lease under which it was intended.
-        kind: What kind of order.
-        target: What it is for.
-        detail: What else a later holder must know.
-        at: When it was intended, in UTC.
-        state: How far it has come.
-        outcome: What the receiver answered.
+        order_id: Id of the order, which stays the same when it is resent.
+        epoch: Epoch of the lease under which it was recorded last.
+        kind: Kind of the order.
+        target: What the order applies to.
+        detail: Further data that a later holder needs.
+        at: When the order was created, in UTC.
+        state: The state of the order.
+        outcome: The receiver's answer, or the error of the last attempt.
     """
 
     order_id: str
@@ -48,12 +52,12 @@
 
 @attrs.frozen
 class JournalRecord:
-    """What the store holds for one duty.
+    """The stored journal of one duty.
 
     Attributes:
-        epoch: Of the last holder that wrote.
-        token: Unique to the write.
-        orders: Open orders and the last settled ones.
+        epoch: Epoch of the last holder that wrote.
+        token: A value unique to this write.
+        orders: Pending orders, and the most recent ones with an outcome.
     """
 
     epoch: int
@@ -62,18 +66,25 @@
 
 
 class JournalError(Exception):
-    """Another holder has written the journal."""
+    """A journal or ledger has been written by another holder."""
 
 
 class Journal:
     """The journal of one duty, written only by the lease's holder.
 
-    Every write is conditional on the version this holder saw, so a former
-    holder that wakes up late cannot write, and thus cannot order.
+    Every write is conditional on the version that this holder read or wrote
+    last. A former holder that was paused therefore cannot write, and as orders
+    are recorded before they are sent, it cannot send any.
 
     Args:
         store: The key-value service.
         lease: The duty's lease.
+
+    Attributes:
+        epoch: Epoch under which the journal was opened; 0 once a write has
+            found that another holder wrote it.
+        version: Version of the stored journal that the next write requires.
+        orders: Recorded orders by id.
     """
 
     def __init__(
@@ -87,18 +98,19 @@
 
     @property
     def key(self) -> str:
-        """The key of the record."""
+        """The key of this journal in the store."""
         return PREFIX + self.lease.name
 
     async def open(self) -> list[JournalOrder]:
-        """Takes the journal over for the lease's present epoch.
+        """Loads the journal and takes it over for the lease's current epoch.
 
         Returns:
-            Orders that a former holder left open.
+            Pending orders of former holders.
 
         Raises:
             PlatformError: If the store cannot be reached.
-            JournalError: If another holder writes at the same time.
+            JournalError: If a newer holder has written the journal, or another
+                holder writes it at the same time.
         """
         epoch = self.lease.epoch
         entry = await self.store.get(self.key)
@@ -107,24 +119,24 @@
         if entry is not None:
             record = codec.decode(JournalRecord, entry.value)
             if record.epoch > epoch:
-                raise JournalError(f"epoch {record.epoch} is newer")
+                raise JournalError(f"journal has newer epoch {record.epoch}")
             self.orders = {o.order_id: o for o in record.orders}
         await self._write(epoch)
         self.epoch = epoch
         return self.pending()
 
     def pending(self) -> list[JournalOrder]:
-        """Returns the orders whose outcome is not recorded."""
+        """Returns the orders without a recorded outcome."""
         orders = self.orders.values()
         return [o for o in orders if o.state is OrderState.INTENDED]
 
     async def record_intended(self, orders: list[JournalOrder]) -> None:
-        """Records orders before any of them is sent."""
+        """Records orders; must complete before any of them is sent."""
         self.orders.update({o.order_id: o for o in orders})
         await self._write(self.epoch)
 
     async def record_outcomes(self, orders: list[JournalOrder]) -> None:
-        """Records outcomes."""
+        """Records the outcomes of orders, and removes old orders."""
         self.orders.update({o.order_id: o for o in orders})
         self._drop_old()
         await self._write(self.epoch)
@@ -135,7 +147,7 @@
             for o in self.orders.values()
             if o.state is not OrderState.INTENDED
         ]
-        for order_id in settled[:-SETTLED_KEPT]:
+        for order_id in settled[:-MAX_SETTLED_ORDERS]:
             del self.orders[order_id]
 
     async def _write(self, epoch: int) -> None:
@@ -148,10 +160,10 @@
         )
         if not answer.written:
             self.epoch = 0
-            raise JournalError("another holder has written the journal")
+            raise JournalError("journal was written by another holder")
         self.version = answer.version
 
 
 def new_order_id() -> str:
-    """Returns an id for an order."""
+    """Returns a new unique order id."""
     return keyvalue.new_token()
--- a/src/kingcupscale/duties/lease.py
+++ b/src/kingcupscale/duties/lease.py
@@ -1,4 +1,9 @@
-"""Leases with fencing numbers, decided by the key-value service."""
+"""Leases with fencing tokens, stored in the key-value service.
+
+The epoch of a lease is its fencing token: it increases with every new holder.
+A holder sends orders only while its lease outlasts them, and a new holder waits
+until orders of the former one have timed out.
+"""
 
 from collections.abc import Callable
 
@@ -16,13 +21,15 @@
 
 @attrs.frozen
 class LeaseSettings:
-    """How long leases last.
+    """Lease timings.
 
     Attributes:
-        ttl_s: Seconds a lease lasts from before its renewal was sent.
-        renew_s: Seconds between renewals, and between a contender's looks.
-        order_timeout_s: Longest time an order may be under way; a lease with
-            less time left sends none, and a new holder waits this long.
+        ttl_s: Lifetime of a lease in seconds, counted from before its renewal
+            is sent.
+        renew_s: Seconds between renewals, and between a candidate's attempts.
+        order_timeout_s: Longest time that an order may be in flight. A holder
+            sends no order when its lease has less time left, and a new holder
+            waits this long before its first order.
     """
 
     ttl_s: float = 9.0
@@ -32,12 +39,12 @@
 
 @attrs.frozen
 class LeaseRecord:
-    """What the store holds of a lease.
+    """The stored record of a lease.
 
     Attributes:
-        holder: Name of the node; empty once released.
-        epoch: Fencing number; grows with every new holder.
-        token: Unique to the write.
+        holder: Name of the holding node; empty once released.
+        epoch: Fencing token; increases with every new holder.
+        token: A value unique to this write.
     """
 
     holder: str
@@ -47,7 +54,13 @@
 
 @attrs.frozen
 class ObservedRecord:
-    """A record as a contender first saw it."""
+    """A lease record that a candidate has read.
+
+    Attributes:
+        version: Version of the record in the store.
+        record: The record.
+        at_s: Monotonic time when the candidate first read this version.
+    """
 
     version: int
     record: LeaseRecord
@@ -55,18 +68,28 @@
 
 
 class Lease:
-    """One node's side of one lease.
+    """A lease as seen by one node, which may hold it or try to acquire it.
 
-    A contender takes a lease over once it has seen the same record for the
-    whole of its lifetime, on its own clock. The holder's own deadline counts
-    from before the renewal was sent, so it is always the earlier one.
+    A candidate acquires a lease once it has read the same version of the record
+    for a whole lifetime, measured on its own clock. The holder counts its
+    deadline from before the renewal is sent, so the lease always ends for the
+    holder before a candidate can acquire it.
 
     Args:
         store: The key-value service.
-        name: Of the lease.
+        name: Name of the lease.
         node: Name of this node.
-        clock: Tells the time, suspended time included.
-        settings: How long leases last.
+        clock: The clock, whose monotonic time includes suspended time.
+        settings: Lease timings.
+
+    Attributes:
+        epoch: Epoch under which this node acquired the lease last; 0 if it has
+            not acquired it or has lost it.
+        deadline: Monotonic time when this node's lease ends.
+        orders_allowed_from: Monotonic time from which this node may send
+            orders.
+        version: Version of the record that this node wrote last.
+        observed: The record that this node read last as a candidate.
     """
 
     def __init__(
@@ -90,37 +113,41 @@
 
     @property
     def key(self) -> str:
-        """The key of the record."""
+        """The key of the lease record in the store."""
         return PREFIX + self.name
 
     def is_held(self) -> bool:
-        """Tells whether this node holds the lease right now."""
+        """Returns whether this node holds the lease now."""
         return self.clock.monotonic() < self.deadline
 
     def can_send_orders(self) -> bool:
-        """Tells whether an order may be sent right now.
+        """Returns whether this node may send an order now.
 
-        Not while an order of the former holder may still be under way, nor
-        when ours might outlast the lease.
+        It may not while an order of the former holder can still be in flight,
+        or when its own order could outlast the lease.
         """
         now = self.clock.monotonic()
         last = self.deadline - self.settings.order_timeout_s
         return self.orders_allowed_from <= now < last
 
     def check_order(self, epoch: int) -> None:
-        """Lets an order leave; called right before its first byte.
+        """Checks that an order may be sent; called right before its first byte.
+
+        Args:
+            epoch: Epoch under which the order was recorded.
 
         Raises:
-            ServiceError: ``LEASE_LOST`` if the epoch is no longer ours.
+            ServiceError: ``LEASE_LOST`` if this node no longer holds that
+                epoch, or may not send an order now.
         """
         if self.epoch != epoch or not self.can_send_orders():
             raise errors.ServiceError(
                 errors.ResultCode.LEASE_LOST,
-                f"{self.name} epoch {epoch} may not send now",
+                f"lease {self.name} does not allow orders of epoch {epoch} now",
             )
 
     async def renew_or_acquire(self) -> None:
-        """Renews the lease, or takes it if it is free or has lapsed.
+        """Renews the lease, or acquires it if it is free or has expired.
 
         Raises:
             PlatformError: If the store cannot be reached.
@@ -138,7 +165,10 @@
             self._set_lost()
 
     def _is_own(self, record: LeaseRecord) -> bool:
-        """Tells our own record from one of an earlier run of this node."""
+        """Returns whether this run of the node wrote the record.
+
+        Otherwise, an earlier run of the same node wrote it.
+        """
         return self.epoch == record.epoch
 
     def _has_expired(self, version: int, record: LeaseRecord) -> bool:
@@ -184,11 +214,11 @@
         self.deadline = 0.0
 
     async def release(self) -> None:
-        """Gives the lease up, so that the next holder need not wait.
+        """Releases the lease, so that the next holder need not wait.
 
         Raises:
             PlatformError: If the store cannot be reached; the lease then
-                lapses by itself.
+                expires.
         """
         if not self.is_held():
             return
@@ -199,12 +229,12 @@
 
 
 class LeaseManager:
-    """Keeps trying for a lease while this node is a candidate.
+    """Renews a held lease, and tries to acquire it while a candidate.
 
     Args:
         lease: The lease.
-        is_candidate: Tells whether this node should try.
-        clock: Tells the time.
+        is_candidate: Returns whether this node should try to acquire it.
+        clock: The clock.
     """
 
     def __init__(
@@ -218,7 +248,7 @@
         self.clock = clock
 
     async def run(self) -> None:
-        """Tries or renews until cancelled."""
+        """Renews or tries to acquire the lease until cancelled."""
         while True:
             if self.lease.is_held() or self.is_candidate():
                 await self._renew_or_acquire()
--- a/src/kingcupscale/duties/ordersender.py
+++ b/src/kingcupscale/duties/ordersender.py
@@ -1,4 +1,7 @@
-"""Sending orders under a lease, each recorded before and after."""
+"""Sends the orders of a duty under its lease.
+
+Each order is recorded in the journal before it is sent, and its outcome after.
+"""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -17,7 +20,12 @@
 
 @attrs.frozen
 class Outcome:
-    """What a receiver answered to an order."""
+    """A receiver's answer to an order.
+
+    Attributes:
+        accepted: Whether the receiver accepted the order.
+        text: The answer as text, such as the reason of a rejection.
+    """
 
     accepted: bool
     text: str
@@ -29,8 +37,8 @@
 class OrderSender:
     """Sends the orders of one duty.
 
-    An order whose answer was lost stays open in the journal and is sent
-    again with the same id, by this holder or the next.
+    An order without an answer stays pending in the journal and is resent with
+    the same id, by this holder or a later one.
 
     Args:
         lease: The duty's lease.
@@ -44,15 +52,15 @@
     async def send_orders(
         self, orders: list[journals.JournalOrder], send: Send
     ) -> list[journals.JournalOrder]:
-        """Records orders, sends them side by side, records the outcomes.
+        """Records orders, sends them concurrently and records the outcomes.
 
         Args:
-            orders: New orders, or open ones of an earlier epoch.
-            send: Sends one order; calls the lease_check right before its first
-                byte leaves.
+            orders: New orders, or pending ones of an earlier epoch.
+            send: Sends one order; calls the lease check right before
+                the first byte.
 
         Returns:
-            The orders with the state they have now.
+            The orders with their resulting state.
         """
         epoch = self.lease.epoch
         orders = [attrs.evolve(order, epoch=epoch) for order in orders]
@@ -73,14 +81,14 @@
         return settled
 
     async def mark_failed(self, orders: list[journals.JournalOrder]) -> None:
-        """Records those orders that are still open as failed."""
-        lost = [
+        """Records the orders that are still pending as failed."""
+        failed = [
             attrs.evolve(order, state=journals.OrderState.FAILED)
             for order in orders
             if order.state is journals.OrderState.INTENDED
         ]
-        if lost:
-            await self.journal.record_outcomes(lost)
+        if failed:
+            await self.journal.record_outcomes(failed)
 
     async def _send(
         self,
--- a/src/kingcupscale/duties/runner.py
+++ b/src/kingcupscale/duties/runner.py
@@ -1,4 +1,4 @@
-"""Running a duty while its lease is held."""
+"""Runs a duty at intervals while its lease allows orders."""
 
 from typing import Protocol
 
@@ -11,24 +11,28 @@
 
 
 class Duty(Protocol):
-    """Work for the holder of a lease."""
+    """Work that only the holder of a lease performs."""
 
     async def take_over(self) -> None:
-        """Settles what a former holder left open."""
+        """Loads the state that former holders left, before the first round."""
         ...
 
     async def run_once(self) -> None:
-        """Does one round."""
+        """Performs one round of the duty."""
         ...
 
 
 class DutyRunner:
-    """Calls a duty at every tick at which orders may be sent.
+    """Runs a round of a duty at intervals, if orders may be sent.
+
+    A round that fails is tried again at the next interval. The duty takes over
+    when the lease has a new epoch, and again after another holder has written
+    its stored state.
 
     Args:
         lease: The duty's lease.
-        duty: The work.
-        clock: Tells the time.
+        duty: The duty.
+        clock: The clock.
         interval_s: Seconds between rounds.
     """
 
@@ -46,7 +50,7 @@
         self.epoch = 0
 
     async def run(self) -> None:
-        """Runs the duty until cancelled."""
+        """Runs rounds of the duty until cancelled."""
         while True:
             if self.lease.can_send_orders():
                 await self._run_round()
