--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -90,7 +90,7 @@
         "duties/lease.py",
         "return self.orders_allowed_from <= now < last",
         "return now < last",
-        "tests.test_lease.LeaseTest.test_new_holder_waits_out_orders_under_way",
+        "tests.test_lease.LeaseTest.test_new_holder_waits_for_orders_in_flight",
     ),
     breaks.Break(
         "orders from one process",
@@ -98,7 +98,7 @@
         "if self.epoch != epoch or not self.can_send_orders():",
         "if False:",
         "tests.test_lease.LeaseTest"
-        ".test_paused_holder_is_followed_and_cannot_order",
+        ".test_paused_holder_is_replaced_and_cannot_send_orders",
     ),
     breaks.Break(
         "orders from one process",
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,7 @@
-"""Leases and journals under pauses, outages and lost answers."""
+"""Tests of leases and journals under pauses, outages and lost answers.
+
+They guard against two nodes that send orders for one duty at the same time.
+"""
 
 import unittest
 
@@ -19,8 +22,8 @@
 SETTINGS = leases.LeaseSettings(ttl_s=9, renew_s=3, order_timeout_s=2)
 
 
-class Bed:
-    """Two contenders before one store."""
+class LeaseFixture:
+    """Two candidates for a lease, and the store they share."""
 
     def __init__(self, nursery, plan=None):
         self.clock = virtualtime.VirtualClock()
@@ -40,7 +43,7 @@
             self.make_client(name), "zone/a", name, self.clock, SETTINGS
         )
 
-    async def contend(self, nursery):
+    async def start_candidates(self, nursery):
         for lease in self.leases:
             manager = leases.LeaseManager(lease, lambda: True, self.clock)
             nursery.start_soon(manager.run)
@@ -48,27 +51,27 @@
 
 class LeaseTest(unittest.TestCase):
     @virtual.on_virtual_time
-    async def test_only_one_contender_holds(self):
+    async def test_only_one_candidate_holds_the_lease(self):
         async with trio.open_nursery() as nursery:
-            bed = Bed(nursery)
-            await bed.contend(nursery)
+            fixture = LeaseFixture(nursery)
+            await fixture.start_candidates(nursery)
             for _ in range(60):
                 await trio.sleep(1)
-                held = [lease for lease in bed.leases if lease.is_held()]
+                held = [lease for lease in fixture.leases if lease.is_held()]
                 self.assertLessEqual(len(held), 1)
             self.assertEqual(len(held), 1)
             self.assertEqual(held[0].epoch, 1)
             nursery.cancel_scope.cancel()
 
     @virtual.on_virtual_time
-    async def test_paused_holder_is_followed_and_cannot_order(self):
+    async def test_paused_holder_is_replaced_and_cannot_send_orders(self):
         async with trio.open_nursery() as nursery:
-            bed = Bed(nursery)
-            one, two = bed.leases
+            fixture = LeaseFixture(nursery)
+            one, two = fixture.leases
             await one.renew_or_acquire()
             await trio.sleep(3)
             self.assertTrue(one.can_send_orders())
-            manager = leases.LeaseManager(two, lambda: True, bed.clock)
+            manager = leases.LeaseManager(two, lambda: True, fixture.clock)
             nursery.start_soon(manager.run)
             await trio.sleep(14)
             self.assertTrue(two.is_held())
@@ -79,47 +82,49 @@
             nursery.cancel_scope.cancel()
 
     @virtual.on_virtual_time
-    async def test_new_holder_waits_out_orders_under_way(self):
+    async def test_new_holder_waits_for_orders_in_flight(self):
         async with trio.open_nursery() as nursery:
-            bed = Bed(nursery)
-            await bed.leases[0].renew_or_acquire()
-            self.assertTrue(bed.leases[0].is_held())
-            self.assertFalse(bed.leases[0].can_send_orders())
+            fixture = LeaseFixture(nursery)
+            await fixture.leases[0].renew_or_acquire()
+            self.assertTrue(fixture.leases[0].is_held())
+            self.assertFalse(fixture.leases[0].can_send_orders())
             await trio.sleep(SETTINGS.order_timeout_s + 0.01)
-            self.assertTrue(bed.leases[0].can_send_orders())
+            self.assertTrue(fixture.leases[0].can_send_orders())
 
     @virtual.on_virtual_time
     async def test_deadline_counts_from_before_the_renewal_was_sent(self):
         async with trio.open_nursery() as nursery:
-            bed = Bed(nursery)
-            bed.store.slow_s = 1.5
-            before = bed.clock.monotonic()
-            await bed.leases[0].renew_or_acquire()
-            written_after = before + 2 * bed.store.slow_s
+            fixture = LeaseFixture(nursery)
+            fixture.store.slow_s = 1.5
+            before = fixture.clock.monotonic()
+            await fixture.leases[0].renew_or_acquire()
+            written_after = before + 2 * fixture.store.slow_s
             self.assertLess(
-                bed.leases[0].deadline, written_after + SETTINGS.ttl_s
+                fixture.leases[0].deadline, written_after + SETTINGS.ttl_s
             )
 
     @virtual.on_virtual_time
-    async def test_lapses_in_an_outage_and_comes_back(self):
+    async def test_lease_expires_in_an_outage_and_is_acquired_again(self):
         async with trio.open_nursery() as nursery:
-            bed = Bed(nursery)
-            await bed.contend(nursery)
+            fixture = LeaseFixture(nursery)
+            await fixture.start_candidates(nursery)
             await trio.sleep(10)
-            bed.store.down = True
+            fixture.store.down = True
             await trio.sleep(SETTINGS.ttl_s + 1)
-            self.assertFalse(any(lease.is_held() for lease in bed.leases))
-            bed.store.down = False
+            self.assertFalse(any(lease.is_held() for lease in fixture.leases))
+            fixture.store.down = False
             await trio.sleep(2 * SETTINGS.ttl_s)
-            self.assertEqual(sum(lease.is_held() for lease in bed.leases), 1)
+            self.assertEqual(
+                sum(lease.is_held() for lease in fixture.leases), 1
+            )
             nursery.cancel_scope.cancel()
 
     @virtual.on_virtual_time
-    async def test_restarted_node_does_not_take_its_old_lease_for_its_own(self):
+    async def test_restarted_node_does_not_reuse_its_old_lease(self):
         async with trio.open_nursery() as nursery:
-            bed = Bed(nursery)
-            await bed.leases[0].renew_or_acquire()
-            again = bed.make_lease("one")
+            fixture = LeaseFixture(nursery)
+            await fixture.leases[0].renew_or_acquire()
+            again = fixture.make_lease("one")
             await again.renew_or_acquire()
             self.assertFalse(again.is_held())
 
@@ -131,41 +136,45 @@
             (faults.Fault.ANSWER_LATE,),
         ]
     )
-    def test_fate_of_a_write_is_learned(self, fault):
+    def test_outcome_of_a_write_is_resolved(self, fault):
         async def main():
             place = ("one", "POST /kv/put", 0)
             async with trio.open_nursery() as nursery:
-                bed = Bed(nursery, faults.FaultPlan({place: fault}))
+                fixture = LeaseFixture(
+                    nursery, faults.FaultPlan({place: fault})
+                )
                 answer = await keyvalue.put_resolved(
-                    bed.leases[0].store, "k", "mine", keyvalue.ABSENT
+                    fixture.leases[0].store, "k", "mine", keyvalue.ABSENT
                 )
                 self.assertTrue(answer.written)
                 await trio.sleep(20)
-                entry = await bed.leases[0].store.get("k")
+                entry = await fixture.leases[0].store.get("k")
                 self.assertEqual(entry.value, "mine")
                 self.assertEqual(entry.version, answer.version)
 
         virtualtime.run(main)
 
     @virtual.on_virtual_time
-    async def test_lost_race_is_told_even_when_the_answer_was_lost(self):
+    async def test_lost_race_is_reported_even_if_the_answer_was_lost(self):
         plan = faults.FaultPlan(
             {("two", "POST /kv/put", 0): faults.Fault.ANSWER_LOST}
         )
         async with trio.open_nursery() as nursery:
-            bed = Bed(nursery, plan)
-            one, two = (lease.store for lease in bed.leases)
+            fixture = LeaseFixture(nursery, plan)
+            one, two = (lease.store for lease in fixture.leases)
             await one.put("k", "theirs", keyvalue.ABSENT)
             answer = await keyvalue.put_resolved(two, "k", "ours", 0)
             self.assertFalse(answer.written)
 
     @virtual.on_virtual_time
-    async def test_undecided_write_says_so(self):
+    async def test_undecided_write_raises_an_error(self):
         async with trio.open_nursery() as nursery:
-            bed = Bed(nursery)
-            bed.store.down = True
+            fixture = LeaseFixture(nursery)
+            fixture.store.down = True
             with self.assertRaises(calls.PlatformError) as caught:
-                await keyvalue.put_resolved(bed.leases[0].store, "k", "v", 0)
+                await keyvalue.put_resolved(
+                    fixture.leases[0].store, "k", "v", 0
+                )
             self.assertTrue(caught.exception.may_have_run)
 
 
@@ -173,14 +182,14 @@
     @virtual.on_virtual_time
     async def test_former_holder_cannot_write(self):
         async with trio.open_nursery() as nursery:
-            bed = Bed(nursery)
+            fixture = LeaseFixture(nursery)
             one, two = (
-                journals.Journal(lease.store, lease) for lease in bed.leases
+                journals.Journal(lease.store, lease) for lease in fixture.leases
             )
             one.lease.epoch, two.lease.epoch = 1, 2
             await one.open()
             order = journals.JournalOrder(
-                "id", 1, "engine", "plume-1", "", bed.clock.now()
+                "id", 1, "engine", "plume-1", "", fixture.clock.now()
             )
             await one.record_intended([order])
             self.assertEqual(await two.open(), [order])
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -1,4 +1,8 @@
-"""Usage: counted once, reported once, late counts carried forward."""
+"""Tests of usage counters, and of reports when nodes or the store fail.
+
+They guard against usage that is lost or reported twice after a crash or a pause
+of the reporting node, or an outage of the store.
+"""
 
 import unittest
 
@@ -22,22 +26,22 @@
 )
 
 
-def merged(*copies):
+def merged(*deltas):
     counters = counter.Counters("me/1")
-    for copy in copies:
-        counters.merge(counter.CounterDelta(copy))
+    for rows in deltas:
+        counters.merge(counter.CounterDelta(rows))
     return counters.totals_by_key
 
 
 class CountersTest(unittest.TestCase):
     @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
     @hypothesis.given(ROWS, ROWS, ROWS)
-    def test_merging_commutes_associates_and_repeats(self, a, b, c):
+    def test_merge_is_commutative_associative_and_idempotent(self, a, b, c):
         self.assertEqual(merged(a, b), merged(b, a))
         self.assertEqual(merged(a, b, c), merged(c, a, b))
         self.assertEqual(merged(a, a, b), merged(a, b))
 
-    def test_copy_holds_only_what_the_receiver_lacks(self):
+    def test_delta_holds_only_rows_the_receiver_lacks(self):
         counters = counter.Counters("me/1")
         counters.add("x", "customer", 1, 2, 3)
         delta = counters.delta({})
@@ -74,7 +78,7 @@
             self.assertEqual(cluster.broken(), [])
 
     @virtual.on_virtual_time
-    async def test_reporter_that_crashes_is_followed_without_conflict(self):
+    async def test_crashed_reporter_is_replaced_without_conflict(self):
         size = clusters.ClusterSettings(trainers=0)
         async with clusters.running(size) as cluster:
             for _ in range(3):
@@ -106,7 +110,7 @@
             self.assertEqual(cluster.broken(), [])
 
     @virtual.on_virtual_time
-    async def test_paused_reporter_adds_no_window_when_it_wakes(self):
+    async def test_paused_reporter_adds_no_window_when_it_resumes(self):
         size = clusters.ClusterSettings(trainers=0)
         async with clusters.running(size) as cluster:
             await cluster.caller(0).complete()
--- a/tests/test_windows.py
+++ b/tests/test_windows.py
@@ -1,4 +1,8 @@
-"""Usage by window: counts are written whole, whoever writes when."""
+"""Tests of usage counts by window and of the reports made from them.
+
+They guard against counts that are lost when two flushes run at once or the
+reporting node changes, and against reports of one window that differ.
+"""
 
 import types
 import unittest
@@ -15,7 +19,7 @@
 
 
 class LaggingStore:
-    """Keeps what is written, after a while."""
+    """A store that applies writes after a delay."""
 
     def __init__(self):
         self.values = {}
@@ -29,26 +33,26 @@
 
 
 class FakeCountSender:
-    """Tells a reporter that may change, or nobody."""
+    """Records the counts sent to a holder that may change or be absent."""
 
     def __init__(self):
-        self.present = ""
-        self.told = []
-        self.is_reached = True
+        self.current = ""
+        self.sent = []
+        self.is_reachable = True
 
     def holder(self):
-        return self.present
+        return self.current
 
     async def send(self, counted):
         await trio.sleep(0.01)
-        if self.is_reached:
-            self.told.append((self.present, counted))
-        return self.is_reached
+        if self.is_reachable:
+            self.sent.append((self.current, counted))
+        return self.is_reachable
 
 
 class WindowCounterTest(unittest.TestCase):
     @virtual.on_virtual_time
-    async def test_last_counts_are_whole_though_two_write_at_once(self):
+    async def test_last_counts_are_complete_when_two_flushes_overlap(self):
         store = LaggingStore()
         counter = windows.WindowCounter(
             types.SimpleNamespace(store=store),
@@ -80,15 +84,15 @@
         [
             ("same_holder", "n2 1", "n2 1", True, 1, 0),
             ("other_holder", "n2 1", "n3 7", True, 2, 0),
-            ("holder_that_started_again", "n2 1", "n2 8", True, 2, 0),
-            ("holder_out_of_reach", "n2 1", "n2 1", False, 0, 1),
-            ("nobody", "", "", True, 0, 1),
-            ("nobody_at_first", "", "n2 1", True, 0, 1),
+            ("restarted_holder", "n2 1", "n2 8", True, 2, 0),
+            ("unreachable_holder", "n2 1", "n2 1", False, 0, 1),
+            ("no_holder", "", "", True, 0, 1),
+            ("no_holder_at_first", "", "n2 1", True, 0, 1),
         ]
     )
     @virtual.on_virtual_time
-    async def test_counts_reach_who_reports(
-        self, _, first, second, is_reached, told, writes
+    async def test_counts_reach_the_reporting_node(
+        self, _, first, second, is_reachable, sent, writes
     ):
         store, count_sender = LaggingStore(), FakeCountSender()
         counter = windows.WindowCounter(
@@ -98,19 +102,23 @@
             WINDOW_S,
             count_sender,
         )
-        count_sender.is_reached = is_reached
+        count_sender.is_reachable = is_reachable
         counter.count_started("one")
         await trio.sleep(6.1)
         for holder in (first, first, second, second):
-            count_sender.present = holder
+            count_sender.current = holder
             await counter.flush()
-        self.assertEqual((len(count_sender.told), store.writes), (told, writes))
-        for _, counted in count_sender.told:
+        self.assertEqual((len(count_sender.sent), store.writes), (sent, writes))
+        for _, counted in count_sender.sent:
             self.assertEqual(list(counted.values()), [{"one": 1}])
 
     @virtual.on_virtual_time
     async def test_last_counts_go_into_the_store(self):
-        """Who reports may be the next to stop, and nobody tells it again."""
+        """A stopping node writes its counts to the store.
+
+        The reporting node may stop next, and the stopped node could not resend
+        its counts to another one.
+        """
         store, count_sender = LaggingStore(), FakeCountSender()
         counter = windows.WindowCounter(
             types.SimpleNamespace(store=store),
@@ -119,7 +127,7 @@
             WINDOW_S,
             count_sender,
         )
-        count_sender.present = "n2 1"
+        count_sender.current = "n2 1"
         counter.count_started("one")
         await trio.sleep(6.1)
         await counter.flush()
@@ -132,7 +140,7 @@
 
 
 class SharedStore:
-    """Keeps entries, each written on its condition."""
+    """A store that checks the conditions of a write."""
 
     def __init__(self):
         self.entries = {}
@@ -149,13 +157,13 @@
 
 
 class Mirror:
-    """What one node has heard of the store."""
+    """A mirror that holds only the entries a test adds."""
 
     def __init__(self, store):
         self.store = store
         self.entries = {}
 
-    def hear_counts(self, window, node, counts):
+    def add_counts(self, window, node, counts):
         key = f"{windows.COUNTS_PREFIX}{window}/{node}"
         value = orjson.dumps(counts)
         self.entries[key] = stores.Entry(key, value, 1, 1)
@@ -165,7 +173,7 @@
 
 
 class Intake:
-    """Notes the reports."""
+    """Records the reports."""
 
     def __init__(self):
         self.reports = []
@@ -176,11 +184,11 @@
 
 class WindowReporterTest(unittest.TestCase):
     def _prepare(self):
-        """Returns an intake, and a mirror that has heard of a window."""
+        """Returns an intake, a mirror with counts, and their window."""
         mirror = Mirror(SharedStore())
         now_s = virtualtime.VirtualClock().now().timestamp()
         window = int(now_s // WINDOW_S)
-        mirror.hear_counts(window, "n1", {"one": 1})
+        mirror.add_counts(window, "n1", {"one": 1})
         return Intake(), mirror, window
 
     def _make(self, mirror, intake, node):
@@ -197,15 +205,15 @@
         )
 
     @virtual.on_virtual_time
-    async def test_window_has_the_figures_that_were_fixed_first(self):
+    async def test_window_has_the_figures_committed_first(self):
         store, intake = SharedStore(), Intake()
         clock = virtualtime.VirtualClock()
         window = int(clock.now().timestamp() // WINDOW_S)
         first, second = Mirror(store), Mirror(store)
-        first.hear_counts(window, "n1", {"one": 1})
-        # Hears more counts, and nothing of the first one's figures.
-        second.hear_counts(window, "n1", {"one": 1})
-        second.hear_counts(window, "n2", {"one": 5})
+        first.add_counts(window, "n1", {"one": 1})
+        # Has more counts, and does not see the figures of the first one.
+        second.add_counts(window, "n1", {"one": 1})
+        second.add_counts(window, "n2", {"one": 5})
         await trio.sleep(2 * WINDOW_S)
         for mirror, node in ((first, "n1"), (second, "n2")):
             reporter = self._make(mirror, intake, node)
@@ -216,7 +224,7 @@
         self.assertEqual(figures, [{"one": 1}, {"one": 1}])
 
     @virtual.on_virtual_time
-    async def test_window_that_was_taken_is_not_reported_again(self):
+    async def test_accepted_window_is_not_reported_again(self):
         intake, mirror, window = self._prepare()
         reporter = self._make(mirror, intake, "n1")
         for _ in range(30):
@@ -227,16 +235,16 @@
         self.assertEqual(len(reported), len(set(reported)))
 
     @virtual.on_virtual_time
-    async def test_new_reporter_waits_for_what_others_told_the_last_one(self):
+    async def test_new_reporter_waits_for_resent_counts(self):
         intake, mirror, window = self._prepare()
         reporter = self._make(mirror, intake, "n1")
         await trio.sleep(2 * WINDOW_S)
         await reporter.step()
         await trio.sleep(0.9 * windows.RESEND_WAIT_S)
         reporter.receive("n2", {window: {"one": 4, "two": 1}})
-        # What a node has written may be newer than what it told before.
+        # Counts that a node wrote may be newer than those it sent before.
         reporter.receive("n1", {window: {"one": 1}})
-        mirror.hear_counts(window, "n1", {"one": 2})
+        mirror.add_counts(window, "n1", {"one": 2})
         await reporter.step()
         self.assertEqual(intake.reports, [])
         await trio.sleep(0.2 * windows.RESEND_WAIT_S)
