--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -192,8 +192,8 @@
     Break(
         "counts reach the next node that reports",
         "usage/windows.py",
-        "is_whole and self.flushed_to[window] in (IN_STORE, holder)",
-        "is_whole",
+        "is_unchanged and self.flushed_to[window] in (IN_STORE, holder)",
+        "is_unchanged",
         "tests.test_windows",
     ),
     Break(
--- a/src/kingcupscale/duties/journal.py
+++ b/src/kingcupscale/duties/journal.py
@@ -34,7 +34,7 @@
         epoch: Epoch of the lease under which it was recorded last.
         kind: Kind of the order.
         target: What the order applies to.
-        detail: Further data that a later holder needs.
+        detail: The encoded order, from which a later holder can resend it.
         at: When the order was created, in UTC.
         state: The state of the order.
         outcome: The receiver's answer, or the error of the last attempt.
--- a/src/kingcupscale/duties/ordersender.py
+++ b/src/kingcupscale/duties/ordersender.py
@@ -56,8 +56,8 @@
 
         Args:
             orders: New orders, or pending ones of an earlier epoch.
-            send: Sends one order; calls the lease check right before
-                the first byte.
+            send: Sends one order; calls the lease check right before the
+                first byte.
 
         Returns:
             The orders with their resulting state.
--- a/src/kingcupscale/duties/runner.py
+++ b/src/kingcupscale/duties/runner.py
@@ -14,7 +14,7 @@
     """Work that only the holder of a lease performs."""
 
     async def take_over(self) -> None:
-        """Loads the state that former holders left, before the first round."""
+        """Takes over the state and pending work of former holders."""
         ...
 
     async def run_once(self) -> None:
--- a/src/kingcupscale/usage/windows.py
+++ b/src/kingcupscale/usage/windows.py
@@ -158,8 +158,8 @@
             self.flushed_to.pop(window, None)
 
     def _is_flushed(self, window: int, holder: str) -> bool:
-        is_whole = self.flushed.get(window) == self.counts[window]
-        return is_whole and self.flushed_to[window] in (IN_STORE, holder)
+        is_unchanged = self.flushed.get(window) == self.counts[window]
+        return is_unchanged and self.flushed_to[window] in (IN_STORE, holder)
 
     async def _send(self, due: dict[int, dict[str, int]], holder: str) -> bool:
         if not await self.count_sender.send(due):
@@ -294,10 +294,10 @@
         )
 
     async def _commit_figures(self, window: int) -> dict[str, int] | None:
-        """Returns the figures of a window, as committed to the store.
+        """Commits the figures of a window to the store, unless it has some.
 
         Returns:
-            The figures, or ``None`` if their entry was removed.
+            The committed figures, or ``None`` if they have been removed.
         """
         key = f"{FIGURES_PREFIX}{window}"
         entry = self.mirror.entries.get(key)
