--- a/src/kingcupscale/usage/counter.py
+++ b/src/kingcupscale/usage/counter.py
@@ -1,20 +1,25 @@
-"""Usage counters that only grow and merge without coordination."""
+"""Grow-only usage counters, which nodes merge without coordination.
+
+Each node counts what it serves and holds the counters of other nodes as well.
+Merging takes the maximum per counter (a state-based grow-only counter), so
+deltas may arrive late, repeatedly and in any order.
+"""
 
 import attrs
 
-Name = tuple[str, str]
-Cell = tuple[str, str, str]
+FigureKey = tuple[str, str]
+CounterKey = tuple[str, str, str]
 Totals = tuple[int, int, int]
 
-NOTHING: Totals = (0, 0, 0)
+ZERO_TOTALS: Totals = (0, 0, 0)
 
 
 @attrs.frozen
 class Row:
-    """The totals of one organisation and class at one incarnation.
+    """The totals of one organisation and class, counted by one incarnation.
 
     Attributes:
-        incarnation: ``node/number`` of the node's run that counted.
+        incarnation: ``node/number`` of the run of the node that counted.
         organisation: Label of the organisation.
         service_class: Name of the class.
         totals: Requests, prompt tokens and generated tokens since the start
@@ -27,18 +32,22 @@
     totals: list[int]
 
     @property
-    def cell(self) -> Cell:
-        """Incarnation, organisation and class."""
+    def key(self) -> CounterKey:
+        """The counter key: incarnation, organisation and class."""
         return (self.incarnation, self.organisation, self.service_class)
 
-    def as_totals(self) -> Totals:
-        """Returns the totals as counters hold them."""
+    def to_tuple(self) -> Totals:
+        """Returns the totals as a tuple."""
         return (self.totals[0], self.totals[1], self.totals[2])
 
 
 @attrs.frozen
-class Copy:
-    """Rows that travel between nodes."""
+class CounterDelta:
+    """Rows that one node sends to another.
+
+    Attributes:
+        rows: The rows, ordered by key.
+    """
 
     rows: list[Row]
 
@@ -46,16 +55,20 @@
 class Counters:
     """The totals of all incarnations known to one node.
 
-    Each cell is written by one incarnation only and only grows, so merging
-    takes the larger value and any order of arrival gives the same.
+    The totals of a key are increased by one incarnation only and never
+    decrease. Merging therefore takes the larger value, and the result does not
+    depend on the order in which deltas arrive.
 
     Args:
-        incarnation: The node's own.
+        incarnation: The incarnation of this node.
+
+    Attributes:
+        totals_by_key: The totals of all known incarnations.
     """
 
     def __init__(self, incarnation: str) -> None:
         self.incarnation = incarnation
-        self.cells: dict[Cell, Totals] = {}
+        self.totals_by_key: dict[CounterKey, Totals] = {}
 
     def add(
         self,
@@ -65,38 +78,42 @@
         prompt_tokens: int = 0,
         generated_tokens: int = 0,
     ) -> None:
-        """Counts something this node served."""
-        cell = (self.incarnation, organisation, service_class)
-        old = self.cells.get(cell, NOTHING)
-        self.cells[cell] = (
+        """Adds usage that this node served."""
+        key = (self.incarnation, organisation, service_class)
+        old = self.totals_by_key.get(key, ZERO_TOTALS)
+        self.totals_by_key[key] = (
             old[0] + requests,
             old[1] + prompt_tokens,
             old[2] + generated_tokens,
         )
 
-    def merge(self, copy: Copy) -> None:
-        """Takes in rows from another node."""
-        for row in copy.rows:
-            known = self.cells.get(row.cell)
-            self.cells[row.cell] = larger(known, row.as_totals())
+    def merge(self, delta: CounterDelta) -> None:
+        """Merges rows from another node."""
+        for row in delta.rows:
+            known = self.totals_by_key.get(row.key)
+            self.totals_by_key[row.key] = merge_totals(known, row.to_tuple())
+
+    def delta(self, known: dict[CounterKey, Totals]) -> CounterDelta:
+        """Returns the rows that differ from the totals a receiver has.
 
-    def copy(self, known: dict[Cell, Totals]) -> Copy:
-        """Returns the rows that differ from what a receiver knows."""
-        return Copy(
+        Args:
+            known: The receiver's totals; empty to get all rows.
+        """
+        return CounterDelta(
             [
-                Row(*cell, list(totals))
-                for cell, totals in sorted(self.cells.items())
-                if known.get(cell) != totals
+                Row(*key, list(totals))
+                for key, totals in sorted(self.totals_by_key.items())
+                if known.get(key) != totals
             ]
         )
 
 
-def larger(known: Totals | None, heard: Totals) -> Totals:
-    """Returns the larger of two readings of one cell."""
+def merge_totals(known: Totals | None, received: Totals) -> Totals:
+    """Returns the maximum of two values of one counter, per element."""
     if known is None:
-        return heard
+        return received
     return (
-        max(known[0], heard[0]),
-        max(known[1], heard[1]),
-        max(known[2], heard[2]),
+        max(known[0], received[0]),
+        max(known[1], received[1]),
+        max(known[2], received[2]),
     )
