--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -26,7 +26,7 @@
     breaks.Break(
         "each sample names its versions",
         "rollouts/step.py",
-        "and last.version == piece.version",
+        "and last.version == token_chunk.version",
         "and True",
         "tests.test_rollouts.StepTest"
         ".test_sample_over_a_swap_names_both_versions",
@@ -43,7 +43,7 @@
     breaks.Break(
         "each sample is delivered once",
         "rollouts/trainer.py",
-        "if group.group in has or group.group not in wanted:",
+        "if group.group in received or group.group not in wanted:",
         "if group.group not in wanted:",
         "tests.test_breaks.TrainerTest.test_repeated_group_is_dropped",
     ),
@@ -57,14 +57,14 @@
     ),
     breaks.Break(
         "no backend server sees a key",
-        "serving/plain.py",
+        "serving/plainservices.py",
         'FORWARDED_HEADERS = ("accept", "accept-language", "content-type")',
         'FORWARDED_HEADERS = ("accept", "authorization", "content-type")',
         "tests.test_breaks.KeyTest.test_key_dropped_at_the_entry_stays_dropped",
     ),
     breaks.Break(
         "no backend server sees a key",
-        "serving/entry.py",
+        "serving/callerapi.py",
         "_check_exposure(request, text)\n        return grant",
         "return grant",
         "tests.test_serving.RefusalTest",
@@ -72,7 +72,7 @@
     breaks.Break(
         "a withdrawn key stops within seconds",
         "serving/sessions.py",
-        "session.withdraw()",
+        "session.cancel()",
         "pass",
         "tests.test_configuration.ClusterTest"
         ".test_withdrawal_ends_an_open_stream",
@@ -88,17 +88,17 @@
     breaks.Break(
         "orders from one process",
         "duties/lease.py",
-        "return self.orders_from <= now < last",
+        "return self.orders_allowed_from <= now < last",
         "return now < last",
-        "tests.test_lease.LeaseTest.test_new_holder_waits_out_orders_under_way",
+        "tests.test_lease.LeaseTest.test_new_holder_waits_for_orders_in_flight",
     ),
     breaks.Break(
         "orders from one process",
         "duties/lease.py",
-        "if self.epoch != epoch or not self.may_order():",
+        "if self.epoch != epoch or not self.can_send_orders():",
         "if False:",
         "tests.test_lease.LeaseTest"
-        ".test_paused_holder_is_followed_and_cannot_order",
+        ".test_paused_holder_is_replaced_and_cannot_send_orders",
     ),
     breaks.Break(
         "orders from one process",
@@ -116,16 +116,16 @@
     ),
     breaks.Break(
         "no usage window with different figures",
-        "usage/copying.py",
-        "collectors = self.collectors()",
-        "collectors = []",
+        "usage/counterreplication.py",
+        "holders = self.replica_holders()",
+        "holders = []",
         "tests.test_usage.ReportingTest"
         ".test_counts_of_a_crashed_node_are_reported",
     ),
     breaks.Break(
         "whole answer to its own request",
         "serving/generation.py",
-        "if chunk.request_id != order.request_id:",
+        "if chunk.request_id != generate_request.request_id:",
         "if False:",
         "tests.test_breaks.CrossedTest"
         ".test_piece_of_another_answer_is_not_passed_on",
@@ -140,22 +140,22 @@
     ),
     breaks.Break(
         "whole answer to its own request",
-        "serving/plain.py",
+        "serving/plainservices.py",
         "if response.headers.get(REQUEST_ID_HEADER) != expected:",
         "if False:",
         "tests.test_serving.PlainCallTest.test_non_idempotent_call_runs_once",
     ),
     breaks.Break(
         "a refusal that says not run is true",
-        "serving/plain.py",
-        "raise _unknown(e.reason) from e",
+        "serving/plainservices.py",
+        "raise _unknown_outcome(e.reason) from e",
         "raise errors.ServiceError(errors.ResultCode.BACKEND_FAILED) from e",
         "tests.test_serving.PlainCallTest.test_non_idempotent_call_runs_once",
     ),
     breaks.Break(
         "a non-idempotent request runs at most once",
-        "serving/plain.py",
-        "if e.request_left and not is_idempotent:",
+        "serving/plainservices.py",
+        "if e.may_have_been_sent and not is_idempotent:",
         "if False:",
         "tests.test_serving.PlainCallTest.test_non_idempotent_call_runs_once",
     ),
@@ -170,15 +170,15 @@
     breaks.Break(
         "a leaving server gets no new work",
         "serving/routing.py",
-        "if not state.is_leaving and state.name not in wish.excluded",
-        "if state.name not in wish.excluded",
+        "if not state.is_leaving and state.name not in requirements.excluded",
+        "if state.name not in requirements.excluded",
         "tests.test_serving.GenerationTest"
         ".test_leaving_engine_gets_nothing_new",
     ),
     breaks.Break(
         "a planned stop cuts no request",
         "node.py",
-        "while self.entry.active or self.sessions.open_sessions:",
+        "while self.caller_api.active or self.sessions.open_sessions:",
         "while False:",
         "tests.test_serving.PlannedStopTest"
         ".test_drain_cuts_no_request_and_loses_no_usage",
--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -23,62 +23,62 @@
 
 
 SITE = "tests.platform."
-BOOK = "tests.batches.test_book"
+CACHE = "tests.batches.test_cache"
 
 BREAKS = (
     Break(
         "a result has one position",
-        "batches/book.py",
+        "batches/cache.py",
         "stores.Transaction(conditions, puts)",
         "stores.Transaction([], puts)",
-        BOOK,
+        CACHE,
     ),
     Break(
         "a reader hears of results without the store",
-        "batches/book.py",
-        "self.feed.ask_anew()",
+        "batches/cache.py",
+        "self.mirror.restart_follow()",
         "pass",
-        BOOK,
+        CACHE,
     ),
     Break(
         "no result is missed by a node that takes a copy",
-        "batches/source.py",
-        "if copy is None or copy.revision < revision:",
-        "if copy is None:",
-        BOOK,
+        "batches/fetching.py",
+        "if snapshot is None or snapshot.revision < revision:",
+        "if snapshot is None:",
+        CACHE,
     ),
     Break(
         "no result is missed while a batch is loaded",
-        "batches/book.py",
-        "for entry in loading.entries:",
+        "batches/cache.py",
+        "for entry in pending.entries:",
         "for entry in ():",
-        BOOK,
+        CACHE,
     ),
     Break(
         "no result is missed after lost history",
-        "storage/feed.py",
+        "storage/mirror.py",
         "                    self.on_reloaded()",
         "                    pass",
-        BOOK,
+        CACHE,
     ),
     Break(
         "a mirror is no newer than it says",
         "peering/relay.py",
-        "asked_at - self.feed.current_at",
+        "requested_at - self.mirror.current_at",
         "0.0",
         "tests.storage.test_relay",
     ),
     Break(
         "a follower skips no change",
         "peering/relay.py",
-        "        found = self.feed.log.since(position)\n"
+        "        found = self.mirror.log.since(position)\n"
         "        if found is None or",
         "        if not found or",
         "tests.storage.test_relay",
     ),
     Break(
         "a configuration never goes back",
-        "directives.py",
+        "clusterstate.py",
         "not catalogue.is_newer(found, self.catalogue)",
         "False",
         SITE + "test_configurations.ConfigurationTest"
@@ -86,11 +86,11 @@
     ),
     Break(
         "orders end with the lease",
-        "storage/tenure.py",
+        "storage/locks.py",
         "return self.clock.monotonic() < self.ends_at - safety_s",
         "return self.lease != stores.NO_LEASE",
         SITE + "test_versions.VersionTest"
-        ".test_paused_holder_gives_no_order_after_its_lease",
+        ".test_isolated_holder_gives_no_order_after_its_lease",
     ),
     Break(
         "a withdrawn key ends on a node that hears nobody",
@@ -98,76 +98,77 @@
         "return is_alone and bool(self.peers.addresses())",
         "return False",
         SITE + "test_configurations.ConfigurationTest"
-        ".test_node_that_hears_nobody_stops_admitting",
+        ".test_isolated_node_stops_admitting",
     ),
     Break(
         "no refusal rests on an old configuration",
         "gateway/admission.py",
-        "return self.find_doubt() or errors.ServiceError(code)",
+        "return self.find_staleness_error() or errors.ServiceError(code)",
         "return errors.ServiceError(code)",
-        SITE + "test_configurations.OldViewTest",
+        SITE + "test_configurations.StaleConfigurationTest",
     ),
     Break(
         "no batch is hidden by an old configuration",
-        "gateway/callers.py",
-        "if doubt and is_there and e.code is errors.ResultCode.BATCH_UNKNOWN:",
+        "gateway/callerservice.py",
+        "if stale and is_known and e.code is errors.ResultCode.BATCH_UNKNOWN:",
         "if False:",
-        SITE + "test_configurations.OldViewTest",
+        SITE + "test_configurations.StaleConfigurationTest",
     ),
     Break(
         "texts go on after a takeover",
         "batches/coordinator.py",
-        "sample.events = self.texts.pop(item.id, [])",
+        "sample.events = self.partial_texts.pop(item.id, [])",
         "sample.events = []",
-        SITE + "test_batches.BatchTest.test_texts_go_on_after_a_takeover",
+        SITE + "test_batches.BatchTest.test_texts_are_resumed_after_a_takeover",
     ),
     Break(
         "a draining server gets nothing new",
-        "fleet/roster.py",
+        "fleet/registry.py",
         "            and self.entry.state is ServerState.READY\n",
         "",
         SITE + "test_calls.CallTest.test_draining_server_gets_nothing_new",
     ),
     Break(
         "a batch that may be kept is not said to be refused",
-        "batches/acceptance.py",
+        "batches/transactions.py",
         "    if may_have_run:\n        raise",
         "    if False:\n        raise",
         SITE + "test_submissions.SubmissionTest"
-        ".test_batch_that_may_be_kept_is_not_said_to_be_refused",
+        ".test_batch_that_may_be_stored_is_not_reported_refused",
     ),
     Break(
         "an open batch is kept",
         "batches/retention.py",
         "return record is not None and not record.is_open()",
         "return True",
-        BOOK,
+        CACHE,
     ),
     Break(
         "an ended batch stays ended",
-        "batches/book.py",
-        "            record.note_ended()\n        self.records[batch_id]",
+        "batches/cache.py",
+        "            record.mark_ended()\n        self.records[batch_id]",
         "            pass\n        self.records[batch_id]",
-        BOOK,
+        CACHE,
     ),
     Break(
         "a result is listed in its own batch only",
         "batches/coordinator.py",
-        "place = (sample.record.batch.id, sample.id)",
-        "place = next((p for p in self.results if p[1] == sample.id), None)",
+        "key = (sample.record.batch.id, sample.id)",
+        "key = next((k for k in self.copied_results if k[1] == sample.id), "
+        "None)",
         SITE + "test_versions.VersionTest"
-        ".test_result_of_an_ended_batch_is_not_listed_in_another",
+        ".test_result_of_an_ended_batch_is_not_used_for_another",
     ),
     Break(
         "a mirror that missed a change is read anew",
-        "storage/feed.py",
-        "elif now - self.differs_since > DIFFERS_S:",
+        "storage/mirror.py",
+        "elif now - self.differs_since > MAX_DIFFERENCE_S:",
         "elif False:",
-        "tests.storage.test_feed",
+        "tests.storage.test_mirror",
     ),
     Break(
         "a closed session holds nothing",
-        "storage/tenure.py",
+        "storage/locks.py",
         "while not self.is_closed:",
         "while True:",
         "tests.storage.test_session",
@@ -175,37 +176,37 @@
     Break(
         "a call that may run once runs once",
         "gateway/forwarder.py",
-        "attempts.route.may_repeat()\n            and attempts.sent",
-        "attempts.sent",
-        SITE + "test_calls.CallTest.test_lost_answer",
+        "state.route.allows_retry()\n            and state.sent",
+        "state.sent",
+        SITE + "test_calls.CallTest.test_response_without_signature_or_id",
     ),
     Break(
         "usage counts are whole",
         "usage/windows.py",
-        "            self.shared[window] = counts\n"
-        "            self.shared_with[window] = IN_STORE\n",
-        "            self.shared[window] = self.counts[window]\n"
-        "            self.shared_with[window] = IN_STORE\n",
+        "            self.flushed[window] = counts\n"
+        "            self.flushed_to[window] = IN_STORE\n",
+        "            self.flushed[window] = self.counts[window]\n"
+        "            self.flushed_to[window] = IN_STORE\n",
         "tests.test_windows",
     ),
     Break(
         "counts reach the next node that reports",
         "usage/windows.py",
-        "is_whole and self.shared_with[window] in (IN_STORE, holder)",
-        "is_whole",
+        "is_unchanged and self.flushed_to[window] in (IN_STORE, holder)",
+        "is_unchanged",
         "tests.test_windows",
     ),
     Break(
         "who begins to report waits for what others told before",
         "usage/windows.py",
-        "return now - self.gained_at >= RESEND_S",
+        "return now - self.acquired_at >= RESEND_WAIT_S",
         "return True",
         "tests.test_windows",
     ),
     Break(
         "a broken connection ends alone",
         "web/worker.py",
-        "        except Exception as e:\n            _log(e)\n"
+        "        except Exception as e:\n            _log_error(e)\n"
         "        except BaseExceptionGroup as group:",
         "        except ZeroDivisionError as group:",
         "tests.test_web_server.ConnectionTest",
@@ -219,35 +220,35 @@
     ),
     Break(
         "what is given up is not sent later",
-        "web/exchange.py",
+        "web/httpclient.py",
         "    (socket.SOL_SOCKET, socket.SO_LINGER, _RESET),\n",
         "",
-        "tests.test_web_server.ExchangeTest",
+        "tests.test_web_server.HttpClientTest",
     ),
     Break(
         "an answer that names no request is nobody's",
         "platform/servers.py",
-        "is_nameless_refusal = echoed is None and answer.not_run",
-        "is_nameless_refusal = echoed is None",
-        SITE + "test_calls.CallTest.test_lost_answer",
+        "is_refusal_without_id = echoed is None and answer.not_executed",
+        "is_refusal_without_id = echoed is None",
+        SITE + "test_calls.CallTest.test_response_without_signature_or_id",
     ),
     Break(
         "a node's entry does not go for good",
         "runtime.py",
-        "self.presence.note_removed()",
+        "self.registration.note_removed()",
         "pass",
-        SITE + "test_lifecycle.PresenceTest",
+        SITE + "test_lifecycle.RegistrationTest",
     ),
     Break(
         "a lease that nothing needs is not renewed",
-        "storage/tenure.py",
+        "storage/locks.py",
         "                if self.users:\n",
         "                if True:\n",
         "tests.storage.test_session",
     ),
     Break(
         "copies pass over a node that is gone",
-        "batches/copying.py",
+        "batches/samplereplication.py",
         "            self.note_failure(name)\n",
         "",
         SITE + "test_lifecycle.SuccessionTest",
@@ -255,8 +256,8 @@
     Break(
         "a version that nobody told of is asked for",
         "batches/generation.py",
-        "            server.versions.update(report.versions)\n",
-        "            del report\n",
+        "            server.versions.update(status.versions)\n",
+        "            del status\n",
         SITE + "test_versions.VersionTest",
     ),
     Break(
@@ -269,7 +270,7 @@
     Break(
         "a window that was taken is not reported again",
         "usage/windows.py",
-        "        self.taken.add(window)\n"
+        "        self.reported.add(window)\n"
         "        events.log(\n"
         "            events.Event.USAGE_REPORTED",
         "        events.log(\n            events.Event.USAGE_REPORTED",
@@ -278,7 +279,7 @@
     Break(
         'a refusal that says "not run" is true',
         "gateway/forwarder.py",
-        "        if attempts.sent:\n            code = (",
+        "        if state.sent:\n            code = (",
         "        if False:\n            code = (",
         SITE + "test_calls",
     ),
@@ -292,8 +293,8 @@
     Break(
         "no text is made by weights that are too old",
         "batches/placement.py",
-        "return is_open and version >= batch.minimum_version",
-        "return is_open",
+        "return accepts_samples and version >= batch.minimum_version",
+        "return accepts_samples",
         SITE + "test_versions",
     ),
     Break(
@@ -307,20 +308,20 @@
     Break(
         "a score is the signature of a success",
         "batches/scoring.py",
-        'score = answer.signature if answer.status < 300 else ""',
-        "score = answer.signature",
+        'score = response.signature if response.status < 300 else ""',
+        "score = response.signature",
         SITE + "test_batches",
     ),
     Break(
         "a batch is shown to its organisation only",
-        "batches/book.py",
+        "batches/cache.py",
         "if record is None or record.batch.organisation != organisation:",
         "if record is None:",
         SITE + "test_submissions",
     ),
     Break(
         "an accepted batch is in the store",
-        "batches/acceptance.py",
+        "batches/transactions.py",
         "            revision = await store.commit(transaction)\n"
         "            return revision is not None",
         "            return True",
@@ -336,7 +337,7 @@
     ),
     Break(
         "a batch that may be there is not said to be unknown",
-        "batches/source.py",
+        "batches/fetching.py",
         "        except stores.StoreError as e:\n"
         "            reason = e.reason\n"
         "        if asks_nodes and await",
@@ -349,37 +350,37 @@
         "a withdrawn key is refused",
         "gateway/admission.py",
         "        if organisation is None:\n"
-        "            raise self.refuse(errors.ResultCode.KEY_REFUSED)\n",
+        "            raise self.make_refusal(errors.ResultCode.KEY_REFUSED)\n",
         "",
         SITE + "test_configurations",
     ),
     Break(
         "a planned stop hands over the last of all texts",
         "leading.py",
-        "            await self.copier.hand_over()\n"
+        "            await self.replicator.hand_over()\n"
         "        self.coordinator.set_active(self.model, False)\n",
         "            self.coordinator.set_active(self.model, False)\n"
-        "            await self.copier.hand_over()\n",
+        "            await self.replicator.hand_over()\n",
         SITE + "test_lifecycle",
     ),
     Break(
         "samples go on at once when their node is stopped",
         "leading.py",
-        "if holder == self.taken_from and now < self.taken_until:",
+        "if holder == self.takeover_source and now < self.takeover_until:",
         "if False:",
         SITE + "test_lifecycle.RollingStopTest",
     ),
     Break(
         "a server that says that it leaves gets nothing new",
-        "fleet/roster.py",
+        "fleet/registry.py",
         "            and not self.is_leaving\n",
         "",
         SITE + "test_leaving",
     ),
     Break(
         "a leaving server's entry that comes again changes nothing",
-        "fleet/roster.py",
-        "self.leaving.get(entry.id) == entry.born",
+        "fleet/registry.py",
+        "self.leaving_starts.get(entry.id) == entry.start_ms",
         "False",
         SITE + "test_leaving",
     ),
@@ -392,35 +393,35 @@
     ),
     Break(
         "heads without end have an end",
-        "web/exchange.py",
+        "web/httpclient.py",
         "with trio.move_on_after(connect_s + timeout_s) as scope:",
         "with trio.CancelScope() as scope:",
-        SITE + "test_endless.EndlessTest.test_report_and_order_end_in_time",
+        SITE + "test_endless.EndlessTest.test_status_and_order_end_in_time",
     ),
     Break(
         "a body without end takes little memory",
         "gateway/forwarder.py",
-        "await response.read_within(HELD_BYTES_MOST)",
-        "await response.read_within(None)",
+        "await response.read_at_most(MAX_BUFFERED_BYTES)",
+        "await response.read_at_most(None)",
         SITE + "test_endless",
     ),
     Break(
         "an event without end takes little memory",
         "platform/servers.py",
-        "if len(pending) > EVENT_BYTES_MOST:",
+        "if len(pending) > MAX_EVENT_BYTES:",
         "if False:",
         SITE + "test_endless",
     ),
     Break(
         "a text without end is given up",
         "batches/generation.py",
-        "if size > TEXT_BYTES_MOST or sample.is_overlong():",
+        "if size > MAX_TEXT_BYTES or sample.exceeds_token_limit():",
         "if False:",
         SITE + "test_endless",
     ),
     Break(
         "a stalled stream ends with its time",
-        "gateway/passing.py",
+        "gateway/responsestream.py",
         "max(0.0, until - clock.monotonic())",
         "max(0.0, 60 + until - clock.monotonic())",
         SITE + "test_slow",
@@ -428,8 +429,8 @@
     Break(
         "slow engines finish their texts",
         "batches/generation.py",
-        "usual_s * 2**sample.silences",
-        "usual_s",
+        "base_s * 2**sample.idle_timeouts",
+        "base_s",
         SITE + "test_slow",
     ),
     Break(
@@ -441,17 +442,17 @@
     ),
     Break(
         "a node that starts reads first what calls need",
-        "batches/book.py",
-        "        feed.defer(records.PREFIX)\n",
+        "batches/cache.py",
+        "        mirror.defer_prefix(records.PREFIX)\n",
         "",
-        SITE + "test_herd",
+        SITE + "test_thundering_herd",
     ),
     Break(
         "an ended batch takes little",
-        "batches/acceptance.py",
+        "batches/transactions.py",
         "for number in range(parts):",
         "for number in range(0):",
-        SITE + "test_herd",
+        SITE + "test_thundering_herd",
     ),
     Break(
         "a lost node's samples go on soon",
@@ -472,21 +473,21 @@
         "platform/cloud.py",
         "        request.before_send = holder.check\n",
         "",
-        SITE + "test_permission",
+        SITE + "test_lease_expiry",
     ),
     Break(
         "no order to an engine leaves after its lease",
         "platform/servers.py",
         "        request.before_send = order.holder.check\n",
         "",
-        SITE + "test_permission",
+        SITE + "test_lease_expiry",
     ),
     Break(
         "a request that was read at a stop is answered",
         "web/worker.py",
         "        if not self.has_bytes:\n"
-        "            self.close_unless_answering()",
-        "        self.gone.set()\n        self.socket.close()",
+        "            self.close_unless_handling()",
+        "        self.closed.set()\n        self.socket.close()",
         "tests.test_web_connections.StopTest",
     ),
     Break(
@@ -499,7 +500,7 @@
     Break(
         "a head that comes for ever has an end",
         "web/worker.py",
-        "if stream.has_bytes and waited_s > times.header_timeout_s:",
+        "if stream.has_bytes and waited_s > allowed.header_timeout_s:",
         "if False:",
         "tests.test_web_connections.IdleTest",
     ),
@@ -512,21 +513,21 @@
     ),
     Break(
         "texts of two runs are not joined",
-        "peering/handover.py",
+        "peering/replication.py",
         "return is_next and self.before == digest(known)",
         "return is_next",
-        SITE + "test_copies",
+        SITE + "test_replication",
     ),
     Break(
         "nothing of an ended batch is sent by an old view",
-        "batches/permission.py",
+        "batches/sendguard.py",
         "if not self.view.is_current():",
         "if False:",
         SITE + "test_ended",
     ),
     Break(
         "an item whose batch ends while it connects is kept back",
-        "batches/permission.py",
+        "batches/sendguard.py",
         "if not sample.record.is_open():",
         "if False:",
         SITE + "test_ended",
@@ -534,36 +535,36 @@
     Break(
         "items go on while the store is silent for all",
         "storage/view.py",
-        "was_old = heard_at",
-        "was_old = False and heard_at",
+        "was_old = peer_answered_at",
+        "was_old = False and peer_answered_at",
         "tests.storage.test_view",
     ),
     Break(
         "failures side by side are not a row",
-        "fleet/roster.py",
+        "fleet/registry.py",
         "if now < self.ejected_until:",
         "if False:",
-        "tests.test_roster",
+        "tests.test_server_registry",
     ),
     Break(
         "calls that are given up teach how long answers take",
         "gateway/forwarder.py",
-        "self._learn_latency(attempts.service, limit_s)",
+        "self._update_latency(state.service, timeout_s)",
         "pass",
         SITE + "test_overload",
     ),
     Break(
         "waiting for room takes no time from a scoring call",
         "gateway/forwarder.py",
-        "    if inbound.is_background:\n        return inbound.patience_s\n",
+        "    if inbound.is_background:\n        return inbound.timeout_s\n",
         "",
         SITE + "test_overload",
     ),
     Break(
         "a rewritten specification is no new batch",
-        "batches/book.py",
+        "batches/cache.py",
         "is_new = entry.created == entry.revision",
         "is_new = True",
-        BOOK,
+        CACHE,
     ),
 )
--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -1,4 +1,8 @@
-"""Running the batches of some models on one service's engines."""
+"""Runs the batches of some models on one service's engines.
+
+The coordinator keeps the samples of these batches, places them on engines,
+has finished texts scored, and has results written to the store.
+"""
 
 from collections.abc import Callable
 import traceback
@@ -10,36 +14,41 @@
 from kingcupscale import events
 from kingcupscale import metrics
 from kingcupscale.batches import batch as batches
-from kingcupscale.batches import book as books
+from kingcupscale.batches import cache as caches
 from kingcupscale.batches import generation
-from kingcupscale.batches import listing
 from kingcupscale.batches import moving
-from kingcupscale.batches import permission as permissions
 from kingcupscale.batches import placement
 from kingcupscale.batches import record as records
+from kingcupscale.batches import resultwriter
 from kingcupscale.batches import sample as samples
 from kingcupscale.batches import scoring
+from kingcupscale.batches import sendguard
 from kingcupscale.fleet import catalogue
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
 from kingcupscale.gateway import forwarder
-from kingcupscale.peering import handover
+from kingcupscale.peering import replication
 from kingcupscale.storage import view as views
 
+# Longest pause of the run loop while batches run on this node, and while none
+# does. New batches wake the loop; the pause limits the delay of changes that
+# do not.
 TICK_S = 0.05
-# New batches wake the coordinator; this is for what nobody tells of.
 IDLE_TICK_S = 0.5
-# Pause before a sample goes on after an unexpected error of our own.
+# Pause before a sample runs again after an unexpected internal error.
 ERROR_PAUSE_S = 0.8
-# A copied text replaces one that is shorter by more events than this.
-ADOPTED_LEAD = 8
-# Texts of ended batches that are kept for items that come again.
-TEXTS_KEPT = 2000
+# A copied text replaces a sample's text only if it is longer by more than this
+# many events.
+MIN_COPY_LEAD_EVENTS = 8
+# Upper limit of the partial texts and of the copied results that are kept for
+# items that this node may run later, and of the groups whose engines are kept.
+# Texts of ended batches are kept too: another batch may have the same items.
+MAX_KEPT_ITEMS = 2000
 
 
 @attrs.define
 class Progress:
-    """Samples of one batch, by item."""
+    """The record of a batch that runs on this node, and its samples by item."""
 
     record: records.Record
     samples: dict[str, samples.Sample]
@@ -50,65 +59,71 @@
 
     Args:
         service: Name of the service.
-        book: The batches.
-        servers: The backend servers.
-        client: Calls them.
-        forward: Passes scoring calls on.
-        measures: Counters and histograms.
-        clock: Tells the time.
-        catalogue_now: Returns the configuration in force.
-        view: Tells whether batches' ends are known here.
+        batch_cache: The batches that this node knows.
+        servers: Registry of the backend servers.
+        client: Client for requests to engines.
+        call_forwarder: Forwards scoring calls.
+        node_metrics: Counters and histograms.
+        clock: Clock for times and pauses.
+        current_catalogue: Returns the configuration in force.
+        view: Tells whether this node's view of the store is recent enough to
+            include the ends of batches.
 
     Attributes:
-        active: Models whose batches this node runs.
-        leftovers: Finished samples of batches that another node runs by now;
-            whichever node lists a result first, it stands.
+        active_models: Models whose batches this node runs.
+        progress: The batches that run on this node, by id.
+        prompt_holders: Ids of the engines whose prefix cache holds a group's
+            prompt, by group.
+        partial_texts: Events of texts that a run can resume, by item: from
+            other nodes' copies, and of batches that this node has released.
+        copied_results: Results from other nodes' copies, by batch and item.
+        released_samples: Finished samples of open batches that another node
+            runs by now. This node still writes their results; the result
+            that is written first counts.
     """
 
     def __init__(
         self,
         service: str,
-        book: books.Book,
-        servers: roster.Roster,
+        batch_cache: caches.BatchCache,
+        servers: registry.ServerRegistry,
         client: serverclient.ServerClient,
-        forward: forwarder.Forwarder,
-        measures: metrics.Metrics,
+        call_forwarder: forwarder.Forwarder,
+        node_metrics: metrics.Metrics,
         clock: clocks.Clock,
-        catalogue_now: Callable[[], catalogue.Catalogue | None],
+        current_catalogue: Callable[[], catalogue.Catalogue | None],
         view: views.View,
     ) -> None:
-        permission = permissions.Permission(view)
+        guard = sendguard.SendGuard(view)
         self.view = view
         self.service = service
-        self.book = book
+        self.batch_cache = batch_cache
         self.servers = servers
-        self.generator = generation.Generator(
-            client, clock, permission, self._fail
-        )
+        self.generator = generation.Generator(client, clock, guard, self._fail)
         self.scorer = scoring.Scorer(
-            forward,
+            call_forwarder,
             clock,
-            catalogue_now,
-            permission,
+            current_catalogue,
+            guard,
             self._finish,
             self._fail,
         )
-        self.lister = listing.Lister(
-            service, book, clock, self._samples_to_list
+        self.result_writer = resultwriter.ResultWriter(
+            service, batch_cache, clock, self._samples_to_write
         )
-        self.measures = measures
+        self.metrics = node_metrics
         self.clock = clock
-        self.catalogue_now = catalogue_now
-        self.active: set[str] = set()
+        self.current_catalogue = current_catalogue
+        self.active_models: set[str] = set()
         self.progress: dict[str, Progress] = {}
-        self.prompts: dict[str, set[str]] = {}
-        self.texts: dict[str, list[serverclient.StreamEvent]] = {}
-        self.results: dict[tuple[str, str], batches.Result] = {}
-        self.leftovers: list[samples.Sample] = []
-        self.woken = trio.Event()
+        self.prompt_holders: dict[str, set[str]] = {}
+        self.partial_texts: dict[str, list[serverclient.StreamEvent]] = {}
+        self.copied_results: dict[tuple[str, str], batches.Result] = {}
+        self.released_samples: list[samples.Sample] = []
+        self.wake_event = trio.Event()
 
     def open_samples(self) -> list[samples.Sample]:
-        """Returns all samples of open batches."""
+        """Returns the samples of all batches that this node runs."""
         return [
             sample
             for progress in self.progress.values()
@@ -116,150 +131,161 @@
         ]
 
     def has_open_batches(self, model: str) -> bool:
-        """Tells whether this node runs a batch of a model now."""
+        """Tells whether this node runs a batch of a model."""
         return any(
             progress.record.batch.model == model
             for progress in self.progress.values()
         )
 
-    def unlisted_samples(self, model: str) -> list[samples.Sample]:
-        """Returns a model's samples that would be lost with this node."""
+    def unsaved_samples(self, model: str) -> list[samples.Sample]:
+        """Returns a model's samples whose progress is not in the store.
+
+        They have a text or a result on this node, but no result in the store,
+        so their progress is lost with this node unless another one has a copy.
+        """
         return [
             sample
-            for sample in [*self.open_samples(), *self.leftovers]
+            for sample in [*self.open_samples(), *self.released_samples]
             if sample.record.batch.model == model
             and (sample.events or sample.result)
-            and not sample.record.is_listed(sample.id)
+            and not sample.record.has_result(sample.id)
         ]
 
-    def _samples_to_list(self) -> list[samples.Sample]:
-        self.leftovers = [
+    def _samples_to_write(self) -> list[samples.Sample]:
+        """Returns the samples whose results may still have to be written.
+
+        Forgets released samples that no longer need it.
+        """
+        self.released_samples = [
             sample
-            for sample in self.leftovers
+            for sample in self.released_samples
             if sample.record.is_open()
-            and not sample.record.is_listed(sample.id)
+            and not sample.record.has_result(sample.id)
         ]
-        return [*self.open_samples(), *self.leftovers]
+        return [*self.open_samples(), *self.released_samples]
 
-    def take_copy(self, copy: handover.Copy) -> bool:
-        """Takes over texts that another node has made.
+    def apply_copy(self, copy: replication.ReplicationRequest) -> bool:
+        """Applies a copy of another node's texts and results.
 
         Returns:
-            Whether all of them went on with what is known of them here.
+            Whether each of the texts continues the text that is known here.
         """
-        fits = True
-        present = {sample.id: sample for sample in self.open_samples()}
+        all_continue = True
+        open_samples = {sample.id: sample for sample in self.open_samples()}
         for text in copy.texts:
-            known = self.texts.get(text.item, [])
-            if not text.follows(known):
-                fits = False
+            known = self.partial_texts.get(text.item, [])
+            if not text.continues(known):
+                all_continue = False
                 continue
             if text.events and text.events[0].number == 1:
                 known = []
-            self.texts[text.item] = known + list(text.events)
+            self.partial_texts[text.item] = known + list(text.events)
             if text.result is not None:
-                self.results[text.batch_id, text.item] = text.result
-            sample = present.get(text.item)
+                self.copied_results[text.batch_id, text.item] = text.result
+            sample = open_samples.get(text.item)
             if sample is not None:
-                self._adopt(sample)
-        self._bound_copies()
-        return fits
+                self._apply_copied_progress(sample)
+        self._evict_oldest()
+        return all_continue
 
-    def _adopt(self, sample: samples.Sample) -> None:
-        """Goes on with a copied text or result, if it is ahead."""
+    def _apply_copied_progress(self, sample: samples.Sample) -> None:
+        """Applies a copied result or a longer copied text to a sample."""
         if sample.result is not None:
             return
-        text = self.texts.get(sample.id, [])
-        place = (sample.record.batch.id, sample.id)
-        if place in self.results:
-            sample.result = self.results.pop(place)
+        text = self.partial_texts.get(sample.id, [])
+        key = (sample.record.batch.id, sample.id)
+        if key in self.copied_results:
+            sample.result = self.copied_results.pop(key)
             sample.stage = samples.Stage.FINISHED
             sample.scope.cancel()
-            self.lister.finished.set()
+            self.result_writer.has_results.set()
         elif (
             sample.stage is not samples.Stage.SCORING
-            and len(text) > len(sample.events) + ADOPTED_LEAD
+            and len(text) > len(sample.events) + MIN_COPY_LEAD_EVENTS
         ):
             sample.run_scope.cancel()
             sample.events = list(text)
 
-    def _bound_copies(self) -> None:
-        for kept in (self.texts, self.results):
-            while len(kept) > TEXTS_KEPT:
+    def _evict_oldest(self) -> None:
+        """Removes the oldest texts and copied results above the limit."""
+        for kept in (self.partial_texts, self.copied_results):
+            while len(kept) > MAX_KEPT_ITEMS:
                 del kept[next(iter(kept))]
 
     def is_active(self, model: str) -> bool:
         """Tells whether this node runs a model's batches."""
-        return model in self.active
+        return model in self.active_models
 
     def set_active(self, model: str, is_active: bool) -> None:
-        """Takes up a model's batches, or lets them go."""
+        """Starts or stops running a model's batches."""
         if is_active != self.is_active(model):
-            self.active ^= {model}
-            self._follow_batches()
+            self.active_models ^= {model}
+            self._sync_batches()
             self.wake()
 
     def wake(self) -> None:
-        """Has the samples looked at again at once."""
-        self.woken.set()
+        """Makes the run loop continue at once."""
+        self.wake_event.set()
 
     async def run(self) -> None:
-        """Runs batches while active, until cancelled."""
+        """Runs the batches of the active models until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.lister.run)
+            nursery.start_soon(self.result_writer.run)
             while True:
-                self._follow_batches()
+                self._sync_batches()
                 self.dispatch(nursery)
                 await self._wait_for_work()
 
     async def _wait_for_work(self) -> None:
-        """Waits for the next look, which is sooner while samples are open."""
+        """Waits until woken or until the pause of the run loop is over."""
         with trio.move_on_after(TICK_S if self.progress else IDLE_TICK_S):
-            await self.woken.wait()
-        self.woken = trio.Event()
+            await self.wake_event.wait()
+        self.wake_event = trio.Event()
 
-    def _follow_batches(self) -> None:
-        """Takes up new batches and lets go of closed ones."""
-        self._hear_of_changes()
+    def _sync_batches(self) -> None:
+        """Starts new batches and releases ended and inactive ones."""
+        self._update_records()
         for batch_id in list(self.progress):
             progress = self.progress[batch_id]
-            is_over = not progress.record.is_open()
-            if is_over or not self.is_active(progress.record.batch.model):
-                self._let_go(progress)
-        for batch_id, record in list(self.book.records.items()):
-            is_ours = self.is_active(record.batch.model)
-            is_known = batch_id in self.progress
-            if is_ours and not is_known and record.is_open():
-                self._take_up(record)
-
-    def _hear_of_changes(self) -> None:
-        """Goes on with the book's objects of batches that were loaded anew.
-
-        The book may let go of a batch that is run here until its interest in
-        the batch's model is set; only the new object hears of changes.
+            is_ended = not progress.record.is_open()
+            if is_ended or not self.is_active(progress.record.batch.model):
+                self._release_batch(progress)
+        for batch_id, record in list(self.batch_cache.records.items()):
+            is_active = self.is_active(record.batch.model)
+            is_running = batch_id in self.progress
+            if is_active and not is_running and record.is_open():
+                self._start_batch(record)
+
+    def _update_records(self) -> None:
+        """Replaces the records of batches that the cache has loaded again.
+
+        The cache may evict a batch that runs here, until the cache's interest
+        includes the batch's model. If it loads the batch again, it updates only
+        the new record. A batch that ended while evicted is marked as ended.
         """
         for batch_id, progress in self.progress.items():
-            held = self.book.records.get(batch_id)
-            if held is None and self.book.has_end(batch_id):
-                progress.record.note_ended()
-            if held is None or held is progress.record:
+            cached = self.batch_cache.records.get(batch_id)
+            if cached is None and self.batch_cache.has_end(batch_id):
+                progress.record.mark_ended()
+            if cached is None or cached is progress.record:
                 continue
-            progress.record = held
+            progress.record = cached
             for sample in progress.samples.values():
-                sample.record = held
-        for sample in self.leftovers:
-            held = self.book.records.get(sample.record.batch.id)
-            sample.record = held or sample.record
+                sample.record = cached
+        for sample in self.released_samples:
+            cached = self.batch_cache.records.get(sample.record.batch.id)
+            sample.record = cached or sample.record
 
-    def _let_go(self, progress: Progress) -> None:
+    def _release_batch(self, progress: Progress) -> None:
+        """Stops running a batch; keeps its texts, and results if it is open."""
         del self.progress[progress.record.batch.id]
         for sample in progress.samples.values():
             sample.scope.cancel()
             if sample.events and sample.result is None:
-                self.texts[sample.id] = list(sample.events)
+                self.partial_texts[sample.id] = list(sample.events)
             if sample.result is not None and progress.record.is_open():
-                self.leftovers.append(sample)
-        self._bound_copies()
+                self.released_samples.append(sample)
+        self._evict_oldest()
         events.log(
             events.Event.BATCH_CLOSED,
             batch=progress.record.batch.id,
@@ -273,30 +299,31 @@
             unfinished=[
                 [s.id, s.stage.value, s.server, len(s.events)]
                 for s in progress.samples.values()
-                if not progress.record.is_listed(s.id)
+                if not progress.record.has_result(s.id)
             ][:20],
         )
 
     def _age_s(self, record: records.Record) -> float:
         return self.clock.now().timestamp() - record.submitted_ms / 1000
 
-    def _take_up(self, record: records.Record) -> None:
-        configured = self.catalogue_now()
+    def _start_batch(self, record: records.Record) -> None:
+        """Starts running a batch, resuming the texts that are known here."""
+        configured = self.current_catalogue()
         if configured is None:
             return
         route = self._find_route(configured, record)
         if route is None:
             return
         now = self.clock.monotonic()
-        listed = {result.item for result in record.results}
+        stored = {result.item for result in record.results}
         progress = Progress(record, {})
         for item in record.batch.items:
-            if item.id not in listed:
+            if item.id not in stored:
                 sample = samples.Sample(item, record, route)
                 sample.waiting_since = now
-                sample.events = self.texts.pop(item.id, [])
+                sample.events = self.partial_texts.pop(item.id, [])
                 progress.samples[item.id] = sample
-                self._adopt(sample)
+                self._apply_copied_progress(sample)
         self.progress[record.batch.id] = progress
         events.log(
             events.Event.BATCH_TAKEN_UP,
@@ -313,7 +340,7 @@
     def _find_route(
         self, configured: catalogue.Catalogue, record: records.Record
     ) -> catalogue.Route | None:
-        """Returns a batch's route if its service is this one."""
+        """Returns a batch's route; None if it doesn't lead to this service."""
         for item in record.batch.items[:1]:
             route = configured.find_route(record.batch.host, item.path)
             names = [share.service for share in route.shares] if route else []
@@ -322,10 +349,10 @@
         return None
 
     def dispatch(self, nursery: trio.Nursery) -> None:
-        """Sends waiting samples to engines with room."""
+        """Starts runs of waiting samples on engines with free slots."""
         now = self.clock.monotonic()
         now_ms = int(self.clock.now().timestamp() * 1000)
-        self._give_up_old(now_ms)
+        self._fail_expired(now_ms)
         if not self.view.is_current():
             return
         waiting = [
@@ -333,100 +360,121 @@
         ]
         self._move_slow_runs(now, waiting)
         usable = [
-            s for s in self.servers.of_service(self.service) if s.is_usable(now)
+            s
+            for s in self.servers.list_servers(self.service)
+            if s.is_usable(now)
         ]
-        for choice in placement.choose_each(
-            waiting, usable, self.prompts, now, now_ms, self.generator.token_s
+        for assignment in placement.place_by_slack(
+            waiting,
+            usable,
+            self.prompt_holders,
+            now,
+            now_ms,
+            self.generator.token_s,
         ):
-            choice.sample.stage = samples.Stage.GENERATING
-            choice.sample.server = choice.server.id
-            # Made here, so that a cancellation holds before the task begins.
-            choice.sample.scope = trio.CancelScope()
-            choice.server.in_flight += 1
-            self._note_prompt(choice)
-            nursery.start_soon(self._run_guarded, choice)
+            assignment.sample.stage = samples.Stage.GENERATING
+            assignment.sample.server = assignment.server.id
+            # Created before the task starts, so that a cancellation in
+            # between takes effect.
+            assignment.sample.scope = trio.CancelScope()
+            assignment.server.in_flight += 1
+            self._record_prompt(assignment)
+            nursery.start_soon(self._run_task, assignment)
 
     def _move_slow_runs(
         self, now: float, waiting: list[samples.Sample]
     ) -> None:
-        """Ends runs that would be done sooner on another engine."""
+        """Cancels runs whose samples would finish sooner on another engine.
+
+        Such a sample waits again, and keeps its text for the next run. Free
+        slots are left for the samples that are already waiting.
+        """
         free = [
             s
-            for s in self.servers.of_service(self.service)
+            for s in self.servers.list_servers(self.service)
             if s.is_usable(now) and s.load(now) < s.entry.slots
         ]
         if not free:
             return
-        taken = len(waiting)
+        needed_slots = len(waiting)
         event_s = self.generator.event_s
-        least_s = event_s * min(
-            placement.finish_cost(s, now, False) for s in free
+        min_event_s = event_s * min(
+            placement.completion_cost(s, now, False) for s in free
         )
         for sample in self.open_samples():
             if sample.stage is not samples.Stage.GENERATING:
                 continue
-            pace = moving.Pace(
+            run = moving.RunProgress(
                 sample.run_events,
                 len(sample.events),
-                sample.event_s(now),
+                sample.seconds_per_event(now),
                 sample.moves,
             )
             expected = sample.expected_tokens() / self.generator.event_tokens
-            if not moving.is_worth_moving(pace, least_s, expected):
+            if not moving.should_move(run, min_event_s, expected):
                 continue
-            here = self.servers.servers.get(sample.server)
-            others = [
+            current = self.servers.servers.get(sample.server)
+            candidates = [
                 s
                 for s in free
                 if s.id != sample.server and placement.can_run(sample, s, now)
             ]
-            room = sum(s.entry.slots - s.in_flight for s in others)
-            if not others or here is None or room <= taken:
+            free_slots = sum(s.entry.slots - s.in_flight for s in candidates)
+            if not candidates or current is None or free_slots <= needed_slots:
                 continue
-            best = min(placement.finish_cost(s, now, False) for s in others)
-            if moving.is_worth_moving(pace, best * event_s, expected):
+            lowest_cost = min(
+                placement.completion_cost(s, now, False) for s in candidates
+            )
+            if moving.should_move(run, lowest_cost * event_s, expected):
                 sample.moves += 1
-                taken += 1
-                here.note_pace(pace.event_s / max(1e-6, event_s))
+                needed_slots += 1
+                current.update_relative_latency(
+                    run.event_s / max(1e-6, event_s)
+                )
                 sample.run_scope.cancel()
 
-    def _note_prompt(self, choice: placement.Choice) -> None:
-        if len(self.prompts) > TEXTS_KEPT:
-            self.prompts.clear()
-        group = choice.sample.item.group
-        self.prompts.setdefault(group, set()).add(choice.server.id)
+    def _record_prompt(self, assignment: placement.Assignment) -> None:
+        """Records that an engine's prefix cache will hold a group's prompt."""
+        if len(self.prompt_holders) > MAX_KEPT_ITEMS:
+            self.prompt_holders.clear()
+        group = assignment.sample.item.group
+        self.prompt_holders.setdefault(group, set()).add(assignment.server.id)
 
-    def _give_up_old(self, now_ms: int) -> None:
+    def _fail_expired(self, now_ms: int) -> None:
+        """Fails waiting samples that exceed their route's maximum age."""
         for sample in self.open_samples():
             age_s = (now_ms - sample.record.submitted_ms) / 1000
             is_waiting = sample.stage is samples.Stage.WAITING
             if is_waiting and age_s > sample.route.max_age_s:
-                self._fail(sample, "too old")
+                self._fail(sample, "exceeded the route's maximum age")
 
-    async def _run_guarded(self, choice: placement.Choice) -> None:
+    async def _run_task(self, assignment: placement.Assignment) -> None:
         """Runs a sample; an unexpected error ends only this run."""
         try:
-            await self._run_sample(choice)
+            await self._run_sample(assignment)
         except Exception as e:
             events.log(
                 events.Event.REQUEST_FAILED,
                 kind=type(e).__name__,
-                item=choice.sample.id,
+                item=assignment.sample.id,
                 trace=traceback.format_tb(e.__traceback__),
             )
-            choice.sample.stage = samples.Stage.WAITING
-            choice.sample.not_before = self.clock.monotonic() + ERROR_PAUSE_S
+            assignment.sample.stage = samples.Stage.WAITING
+            assignment.sample.not_before = (
+                self.clock.monotonic() + ERROR_PAUSE_S
+            )
 
-    async def _run_sample(self, choice: placement.Choice) -> None:
-        sample, server = choice.sample, choice.server
-        is_whole = False
+    async def _run_sample(self, assignment: placement.Assignment) -> None:
+        """Runs a sample once, and has its text scored if it is complete."""
+        sample, server = assignment.sample, assignment.server
+        is_complete = False
         with sample.scope:
             try:
-                is_whole = await self.generator.run(sample, server)
+                is_complete = await self.generator.run(sample, server)
             finally:
                 server.in_flight -= 1
                 self.wake()
-            if is_whole:
+            if is_complete:
                 sample.stage = samples.Stage.SCORING
                 await self.scorer.score(sample)
         if sample.stage is samples.Stage.GENERATING:
@@ -434,18 +482,18 @@
             sample.waiting_since = self.clock.monotonic()
 
     def _finish(self, sample: samples.Sample, score: str) -> None:
-        """Makes the result of a scored sample."""
+        """Sets the result of a scored sample and has it written."""
         sample.finish(score)
-        self.measures.record(
+        self.metrics.record(
             sample.record.batch.organisation,
             sample.route.name,
             metrics.Measure.SAMPLE_MS,
             1000 * self._age_s(sample.record),
         )
-        self.lister.finished.set()
+        self.result_writer.has_results.set()
 
     def _fail(self, sample: samples.Sample, reason: str) -> None:
-        """Makes the result of a sample that can't be done."""
+        """Fails a sample that can't be completed and has that written."""
         sample.fail()
         events.log(events.Event.SAMPLE_FAILED, item=sample.id, reason=reason)
-        self.lister.finished.set()
+        self.result_writer.has_results.set()
--- a/src/kingcupscale/batches/retention.py
+++ b/src/kingcupscale/batches/retention.py
@@ -1,88 +1,102 @@
-"""Removing batches that need not be read any more."""
+"""Removes batches from the store once their retention time has passed."""
 
 import functools
 
 from kingcupscale import clock as clocks
 from kingcupscale import errors
-from kingcupscale.batches import book as books
+from kingcupscale.batches import cache as caches
 from kingcupscale.batches import record as records
-from kingcupscale.storage import entries
+from kingcupscale.storage import decoding
 from kingcupscale.storage import store as stores
 
-# Keys in one transaction, which the store takes at the least.
-REMOVALS_MOST = 32
+# Maximum number of keys in one transaction. Every supported store accepts
+# transactions of this size.
+MAX_REMOVALS = 32
 
 
 class Retention:
-    """Removes old batches from the store.
+    """Removes old batches that get no more results from the store.
 
     Args:
-        book: The batches.
-        clock: Tells the time.
+        batch_cache: The batches.
+        clock: Clock for the age of batches.
     """
 
-    def __init__(self, book: books.Book, clock: clocks.Clock) -> None:
-        self.book = book
-        self.source = book.source
-        self.store = book.store
+    def __init__(
+        self, batch_cache: caches.BatchCache, clock: clocks.Clock
+    ) -> None:
+        self.batch_cache = batch_cache
+        self.fetcher = batch_cache.fetcher
+        self.store = batch_cache.store
         self.clock = clock
 
-    async def forget_older_than(self, seconds: float) -> None:
-        """Removes batches that need not be read any more.
+    async def remove_older_than(self, seconds: float) -> None:
+        """Removes finished or ended batches that are older than ``seconds``.
+
+        A batch whose submission time is not known is read first, and removed by
+        a later call.
 
         Raises:
             StoreError: If the store cannot be reached.
         """
         now_ms = self.clock.now().timestamp() * 1000
-        for batch_id in self.book.batch_ids():
+        for batch_id in self.batch_cache.batch_ids():
             if (
-                batch_id in self.book.unexamined
-                or batch_id in self.book.loading
+                batch_id in self.batch_cache.load_candidates
+                or batch_id in self.batch_cache.pending_loads
             ):
                 continue
-            known = self.book.known.get(batch_id)
-            if known is None:
-                await self._learn(batch_id)
+            summary = self.batch_cache.summaries.get(batch_id)
+            if summary is None:
+                await self._load_summary(batch_id)
                 continue
-            is_old = now_ms - known.submitted_ms > seconds * 1000
+            is_old = now_ms - summary.submitted_ms > seconds * 1000
             if is_old and await self._is_closed(batch_id):
-                await self._forget(batch_id)
+                await self._remove(batch_id)
 
     async def _is_closed(self, batch_id: str) -> bool:
-        """Tells whether nothing is added to a batch any more for sure."""
-        if self.book.has_end(batch_id):
+        """Returns whether a batch certainly gets no more results.
+
+        Returns False if the batch cannot be read.
+        """
+        if self.batch_cache.has_end(batch_id):
             return True
         try:
-            record = await self.book.load(batch_id, is_read=True)
+            record = await self.batch_cache.load(batch_id, is_read=True)
         except errors.ServiceError as e:
-            books.log_unloaded(batch_id, e)
+            caches.log_load_failure(batch_id, e)
             return False
         return record is not None and not record.is_open()
 
-    async def _learn(self, batch_id: str) -> None:
-        """Reads when a batch came, of one that was seen by its name only."""
-        key = records.key_of(batch_id, records.SPECIFICATION, "0")
+    async def _load_summary(self, batch_id: str) -> None:
+        """Reads the submission time and the model of a batch from the store.
+
+        The mirror may hold the key of a batch without its value.
+        """
+        key = records.batch_key(batch_id, records.SPECIFICATION, "0")
         entry = await self.store.store.get(key)
         if entry is None or entry.value is None:
             return
         decode = functools.partial(records.decode, records.Specification)
-        head = entries.read(entry, decode)
-        if head is None:
+        specification = decoding.decode_entry(entry, decode)
+        if specification is None:
             return
-        self.book.known[batch_id] = books.Known(
-            head.submitted_ms, head.batch.model
+        self.batch_cache.summaries[batch_id] = caches.BatchSummary(
+            specification.submitted_ms, specification.batch.model
         )
 
-    async def _forget(self, batch_id: str) -> None:
+    async def _remove(self, batch_id: str) -> None:
         prefix = f"{records.RESULTS_PREFIX}{batch_id}/"
-        keys = [entry.key for entry in await self.source.entries(prefix)]
-        heads = self.book.feed.under(records.key_of(batch_id, ""))
-        # The specification goes last, so that a half-removed batch is found
-        # again by the next round.
+        keys = [entry.key for entry in await self.fetcher.entries(prefix)]
+        batch_entries = self.batch_cache.mirror.entries_under(
+            records.batch_key(batch_id, "")
+        )
+        # The specification is removed last. If the removal is interrupted, the
+        # next call finds the batch again.
         keys += sorted(
-            (entry.key for entry in heads),
+            (entry.key for entry in batch_entries),
             key=lambda key: records.SPECIFICATION in key,
         )
-        for start in range(0, len(keys), REMOVALS_MOST):
-            removals = keys[start : start + REMOVALS_MOST]
+        for start in range(0, len(keys), MAX_REMOVALS):
+            removals = keys[start : start + MAX_REMOVALS]
             await self.store.commit(stores.Transaction(removals=removals))
--- a/src/kingcupscale/duties/orders.py
+++ b/src/kingcupscale/duties/ordersender.py
@@ -1,4 +1,7 @@
-"""Sending orders under a lease, each recorded before and after."""
+"""Sends the orders of a duty under its lease.
+
+Each order is recorded in the journal before it is sent, and its outcome after.
+"""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -12,25 +15,30 @@
 from kingcupscale.duties import lease as leases
 from kingcupscale.providers import calls
 
-Guard = Callable[[], None]
+LeaseCheck = Callable[[], None]
 
 
 @attrs.frozen
 class Outcome:
-    """What a receiver answered to an order."""
+    """A receiver's answer to an order.
+
+    Attributes:
+        accepted: Whether the receiver accepted the order.
+        text: The answer as text, such as the reason of a rejection.
+    """
 
     accepted: bool
     text: str
 
 
-Send = Callable[[journals.JournalOrder, Guard], Awaitable[Outcome]]
+Send = Callable[[journals.JournalOrder, LeaseCheck], Awaitable[Outcome]]
 
 
-class OrderDesk:
+class OrderSender:
     """Sends the orders of one duty.
 
-    An order whose answer was lost stays open in the journal and is sent
-    again with the same id, by this holder or the next.
+    An order without an answer stays pending in the journal and is resent with
+    the same id, by this holder or a later one.
 
     Args:
         lease: The duty's lease.
@@ -41,22 +49,22 @@
         self.lease = lease
         self.journal = journal
 
-    async def carry_out(
+    async def send_orders(
         self, orders: list[journals.JournalOrder], send: Send
     ) -> list[journals.JournalOrder]:
-        """Records orders, sends them side by side, records the outcomes.
+        """Records orders, sends them concurrently and records the outcomes.
 
         Args:
-            orders: New orders, or open ones of an earlier epoch.
-            send: Sends one order; calls the guard right before its first
-                byte leaves.
+            orders: New orders, or pending ones of an earlier epoch.
+            send: Sends one order; calls the lease check right before the
+                first byte.
 
         Returns:
-            The orders with the state they have now.
+            The orders with their resulting state.
         """
         epoch = self.lease.epoch
         orders = [attrs.evolve(order, epoch=epoch) for order in orders]
-        await self.journal.intend(orders)
+        await self.journal.record_intended(orders)
         events.log(
             events.Event.ORDER_INTENDED,
             node=self.lease.node,
@@ -68,19 +76,19 @@
         async with trio.open_nursery() as nursery:
             for order in orders:
                 nursery.start_soon(self._send, order, send, settled)
-        await self.journal.settle(settled)
+        await self.journal.record_outcomes(settled)
         self._log_settled(settled)
         return settled
 
-    async def give_up(self, orders: list[journals.JournalOrder]) -> None:
-        """Records those orders that are still open as failed."""
-        lost = [
+    async def mark_failed(self, orders: list[journals.JournalOrder]) -> None:
+        """Records the orders that are still pending as failed."""
+        failed = [
             attrs.evolve(order, state=journals.OrderState.FAILED)
             for order in orders
             if order.state is journals.OrderState.INTENDED
         ]
-        if lost:
-            await self.journal.settle(lost)
+        if failed:
+            await self.journal.record_outcomes(failed)
 
     async def _send(
         self,
@@ -88,11 +96,11 @@
         send: Send,
         settled: list[journals.JournalOrder],
     ) -> None:
-        def guard() -> None:
+        def lease_check() -> None:
             self.lease.check_order(order.epoch)
 
         try:
-            outcome = await send(order, guard)
+            outcome = await send(order, lease_check)
         except (calls.PlatformError, errors.ServiceError) as e:
             settled.append(attrs.evolve(order, outcome=str(e)))
             return
--- a/src/kingcupscale/duties/runner.py
+++ b/src/kingcupscale/duties/runner.py
@@ -1,4 +1,4 @@
-"""Running a duty while its lease is held."""
+"""Runs a duty at intervals while its lease allows orders."""
 
 from typing import Protocol
 
@@ -11,25 +11,29 @@
 
 
 class Duty(Protocol):
-    """Work for the holder of a lease."""
+    """Work that only the holder of a lease performs."""
 
     async def take_over(self) -> None:
-        """Settles what a former holder left open."""
+        """Takes over the state and pending work of former holders."""
         ...
 
-    async def work(self) -> None:
-        """Does one round."""
+    async def run_once(self) -> None:
+        """Performs one round of the duty."""
         ...
 
 
 class DutyRunner:
-    """Calls a duty at every tick at which orders may be sent.
+    """Runs a round of a duty at intervals, if orders may be sent.
+
+    A round that fails is tried again at the next interval. The duty takes over
+    when the lease has a new epoch, and again after another holder has written
+    its stored state.
 
     Args:
         lease: The duty's lease.
-        duty: The work.
-        clock: Tells the time.
-        tick_s: Seconds between rounds.
+        duty: The duty.
+        clock: The clock.
+        interval_s: Seconds between rounds.
     """
 
     def __init__(
@@ -37,28 +41,28 @@
         lease: leases.Lease,
         duty: Duty,
         clock: clocks.Clock,
-        tick_s: float,
+        interval_s: float,
     ) -> None:
         self.lease = lease
         self.duty = duty
         self.clock = clock
-        self.tick_s = tick_s
+        self.interval_s = interval_s
         self.epoch = 0
 
     async def run(self) -> None:
-        """Runs the duty until cancelled."""
+        """Runs rounds of the duty until cancelled."""
         while True:
-            if self.lease.may_order():
-                await self._round()
-            await self.clock.sleep(self.tick_s)
+            if self.lease.can_send_orders():
+                await self._run_round()
+            await self.clock.sleep(self.interval_s)
 
-    async def _round(self) -> None:
+    async def _run_round(self) -> None:
         epoch = self.lease.epoch
         try:
             if self.epoch != epoch:
                 await self.duty.take_over()
                 self.epoch = epoch
-            await self.duty.work()
+            await self.duty.run_once()
         except journals.JournalError:
             self.epoch = 0
         except (calls.PlatformError, errors.ServiceError) as e:
--- /dev/null
+++ b/src/kingcupscale/fleet/registry.py
@@ -0,0 +1,277 @@
+"""The registry of backend servers that one node knows."""
+
+from collections.abc import Callable
+import enum
+
+import attrs
+
+from kingcupscale import clock as clocks
+from kingcupscale import events
+
+# After the store has recovered, servers have this long to register again before
+# a missing entry means that they have stopped.
+REREGISTRATION_S = 2.3
+# A server that fails is ejected for this long; the time doubles with each
+# consecutive failure.
+MIN_EJECTION_S = 0.4
+MAX_EJECTION_S = 5.0
+# Weight of the newest response in the moving average of the relative latency.
+LATENCY_WEIGHT = 0.15
+# The reported load of other nodes decays linearly to zero within this time.
+LOAD_DECAY_S = 1.0
+# Most removed servers whose leaving notice is kept.
+MAX_LEAVING_STARTS = 1000
+
+
+class ServerState(enum.Enum):
+    """Whether a server accepts new requests, as it reports itself."""
+
+    READY = "ready"
+    DRAINING = "draining"
+
+
+@attrs.frozen
+class ServerEntry:
+    """A backend server's own entry in the store.
+
+    Attributes:
+        id: Its identity.
+        service: The service it belongs to.
+        address: ``host:port``.
+        zone: Its availability zone.
+        state: Whether it takes work.
+        slots: Requests it runs at once.
+        start_ms: Start time in milliseconds since 1970. A different value
+            under the same id means that the server has restarted.
+        versions: Weight version by model.
+        is_spot: Whether its VM is a spot VM, which may be reclaimed.
+        warmup_s: Seconds for which it is still slow after its start.
+    """
+
+    id: str
+    service: str
+    address: str
+    zone: str
+    state: ServerState
+    slots: int
+    start_ms: int
+    versions: dict[str, int] = attrs.field(factory=dict)
+    is_spot: bool = False
+    warmup_s: float = 0.0
+
+
+@attrs.define(eq=False)
+class Server:
+    """A backend server and its state as this node has observed it.
+
+    Attributes:
+        entry: Its own entry in the store.
+        in_flight: Requests of this node that run there.
+        other_requests: Requests of other nodes there, by the last response
+            that reported a load.
+        load_reported_at: Monotonic time of that response.
+        failures: Failures in a row.
+        ejected_until: Monotonic time before which it gets nothing.
+        versions: Weight version by model, from entries, orders and answers.
+        sequence: Orders that it has accepted since its start; None if not
+            known.
+        relative_latency: Mean latency relative to the other servers of its
+            service; 1 is average.
+        no_samples_until: Monotonic time, by model, before which it accepts no
+            samples of the model because it is loading weights for it.
+        loading_until: Monotonic time until which runs may have to wait,
+            because it is loading weights.
+        is_leaving: Whether a response said that it is about to shut down. A
+            later entry does not change that.
+        is_removed: Whether its entry has been removed.
+        removed_at: Monotonic time at which the entry went missing.
+    """
+
+    entry: ServerEntry
+    in_flight: int = 0
+    other_requests: int = 0
+    load_reported_at: float = -1e9
+    failures: int = 0
+    ejected_until: float = 0.0
+    versions: dict[str, int] = attrs.field(factory=dict)
+    sequence: int | None = None
+    relative_latency: float = 1.0
+    no_samples_until: dict[str, float] = attrs.field(factory=dict)
+    loading_until: float = 0.0
+    is_leaving: bool = False
+    is_removed: bool = False
+    removed_at: float | None = None
+
+    @property
+    def id(self) -> str:
+        """Its identity."""
+        return self.entry.id
+
+    def is_usable(self, now: float) -> bool:
+        """Returns whether requests may be sent to it at a monotonic time."""
+        return (
+            not self.is_removed
+            and not self.is_leaving
+            and self.entry.state is ServerState.READY
+            and now >= self.ejected_until
+        )
+
+    def load(self, now: float) -> float:
+        """Returns requests that it probably has, of all nodes."""
+        age_s = now - self.load_reported_at
+        return self.in_flight + self.other_requests * max(
+            0.0, 1 - age_s / LOAD_DECAY_S
+        )
+
+    def update_load(self, load: int, now: float) -> None:
+        """Records the number of requests on it that a response reported."""
+        self.other_requests = max(0, load - self.in_flight)
+        self.load_reported_at = now
+
+    def update_relative_latency(self, ratio: float) -> None:
+        """Records the latency of a response.
+
+        Args:
+            ratio: The latency divided by the expected latency.
+        """
+        self.relative_latency += LATENCY_WEIGHT * (
+            min(ratio, 10.0) - self.relative_latency
+        )
+
+    def record_success(self) -> None:
+        """Records a success, which resets the failures and the ejection."""
+        self.failures = 0
+        self.ejected_until = 0.0
+
+    def mark_leaving(self) -> None:
+        """Records that a response announced the shutdown of the server.
+
+        It gets no more requests. A server that restarts under the same id is
+        a different server and gets requests again.
+        """
+        if not self.is_leaving:
+            self.is_leaving = True
+            events.log(events.Event.SERVER_LEAVING, server=self.id)
+
+    def record_failure(self, now: float) -> None:
+        """Records a failure and ejects the server for a while.
+
+        Failures while it is ejected are not counted, because requests that
+        were in flight together usually fail together.
+        """
+        if now < self.ejected_until:
+            return
+        self.failures += 1
+        pause_s = MIN_EJECTION_S * 2 ** min(self.failures - 1, 5)
+        self.ejected_until = now + min(MAX_EJECTION_S, pause_s)
+        events.log(
+            events.Event.SERVER_EJECTED,
+            server=self.id,
+            failures=self.failures,
+            pause_s=min(MAX_EJECTION_S, pause_s),
+        )
+
+
+class ServerRegistry:
+    """The backend servers that have an entry in the store.
+
+    An entry that disappears removes its server only if the store is reachable
+    and has been for a while: entries also expire while the store is out of
+    reach, although their servers still run.
+
+    Args:
+        clock: The clock.
+        recovered_at: Returns the monotonic time of the store's last recovery.
+        is_store_unreachable: Returns whether the store is out of reach.
+
+    Attributes:
+        servers: The servers by id.
+        leaving_starts: Start times of removed servers that were leaving, by
+            id.
+    """
+
+    def __init__(
+        self,
+        clock: clocks.Clock,
+        recovered_at: Callable[[], float],
+        is_store_unreachable: Callable[[], bool],
+    ) -> None:
+        self.clock = clock
+        self.recovered_at = recovered_at
+        self.is_store_unreachable = is_store_unreachable
+        self.servers: dict[str, Server] = {}
+        self.leaving_starts: dict[str, int] = {}
+
+    def register(self, entry: ServerEntry) -> None:
+        """Adds a server, or updates it, by its entry in the store."""
+        known = self.servers.get(entry.id)
+        if known is None or known.entry.start_ms != entry.start_ms:
+            if known is not None:
+                known.is_removed = True
+            self.servers[entry.id] = Server(
+                entry,
+                versions=dict(entry.versions),
+                is_leaving=self.leaving_starts.get(entry.id) == entry.start_ms,
+            )
+            events.log(
+                events.Event.SERVER_ENTERED,
+                server=entry.id,
+                service=entry.service,
+                zone=entry.zone,
+                state=entry.state.value,
+            )
+            return
+        if known.entry.state is not entry.state:
+            events.log(
+                events.Event.SERVER_STATE_CHANGED,
+                server=entry.id,
+                state=entry.state.value,
+            )
+        known.entry = entry
+        known.removed_at = None
+        known.is_removed = False
+        for model, version in entry.versions.items():
+            known.versions[model] = max(known.versions.get(model, 0), version)
+
+    def remove(self, server_id: str) -> None:
+        """Records that a server's entry has been removed from the store."""
+        known = self.servers.get(server_id)
+        if known is None:
+            return
+        now = self.clock.monotonic()
+        known.removed_at = now
+        is_settled = now - self.recovered_at() > REREGISTRATION_S
+        if is_settled and not self.is_store_unreachable():
+            self._drop(known)
+
+    def remove_expired(self) -> None:
+        """Removes servers that did not register again in time."""
+        if self.is_store_unreachable():
+            return
+        now = self.clock.monotonic()
+        for server in list(self.servers.values()):
+            if server.removed_at is None:
+                continue
+            if now - self.recovered_at() > REREGISTRATION_S:
+                self._drop(server)
+
+    def _drop(self, server: Server) -> None:
+        server.is_removed = True
+        if server.is_leaving:
+            self._keep_leaving_start(server)
+        self.servers.pop(server.id, None)
+        events.log(events.Event.SERVER_GONE, server=server.id)
+
+    def _keep_leaving_start(self, server: Server) -> None:
+        """Keeps the start time of a leaving server.
+
+        If its entry reappears with the same start time, the server is still
+        leaving.
+        """
+        self.leaving_starts[server.id] = server.entry.start_ms
+        while len(self.leaving_starts) > MAX_LEAVING_STARTS:
+            del self.leaving_starts[next(iter(self.leaving_starts))]
+
+    def list_servers(self, service: str) -> list[Server]:
+        """Returns all servers of a service, whether usable or not."""
+        return [s for s in self.servers.values() if s.entry.service == service]
--- a/src/kingcupscale/fleet/serverclient.py
+++ b/src/kingcupscale/fleet/serverclient.py
@@ -1,4 +1,4 @@
-"""Calls to backend servers: what is sent, and what an answer says."""
+"""Interface of the client for backend servers, and its data types."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Callable
@@ -8,16 +8,16 @@
 
 import attrs
 
-from kingcupscale.fleet import roster
-from kingcupscale.storage import tenure as tenures
+from kingcupscale.fleet import registry
+from kingcupscale.storage import locks
 
 
 class ServerError(Exception):
-    """A call that brought no whole, genuine answer.
+    """A call got no complete response that is known to be the server's own.
 
     Args:
         reason: What went wrong.
-        may_have_run: Whether the server may have worked on it.
+        may_have_run: Whether the server may have executed the call.
     """
 
     def __init__(self, reason: str, may_have_run: bool) -> None:
@@ -26,11 +26,11 @@
         self.may_have_run = may_have_run
 
 
-class WithdrawnError(ServerError):
-    """A call that was kept from leaving; it has not run and never will.
+class NotSentError(ServerError):
+    """A call was blocked before it was sent, so it was never executed.
 
     Args:
-        reason: Why it must not leave any more.
+        reason: Why it must not be sent any more.
     """
 
     def __init__(self, reason: str) -> None:
@@ -39,24 +39,25 @@
 
 @attrs.frozen
 class Call:
-    """One request as a backend server gets it.
+    """One request to a backend server.
 
     Attributes:
-        request_id: Identity of the request.
-        method: Method.
-        path: Path.
-        query: Query without the question mark.
+        request_id: Id of the request.
+        method: HTTP method.
+        path: Path without the query.
+        query: Query string without the question mark.
         host: Host of the route.
-        headers: Headers to pass on, lower case; neither keys nor those of
-            one connection.
+        headers: Headers to forward, lower case. They contain no API keys and
+            no hop-by-hop headers.
         body: The whole body.
-        time_left_s: Seconds after which the server stops.
+        timeout_s: Seconds after which the server stops.
         organisation: Label of the organisation; None where there is none.
-        expected_version: Weight version that it must run under.
-        resume_after: Number of the last event that is already there.
-        priority: Rank among a server's requests, 0 first; None for usual.
-        check: Called right before the first byte leaves; raises
-            ``WithdrawnError`` to keep the call from leaving. None to let it.
+        expected_version: Weight version that it must run under; None for any.
+        resume_after: Number of the last event that has been received.
+        priority: Priority among a server's requests, 0 is the most urgent;
+            None for the default.
+        before_send: Called right before the first byte is sent; raises
+            ``NotSentError`` to prevent that. None for no check.
     """
 
     request_id: str
@@ -66,12 +67,12 @@
     host: str
     headers: dict[str, str]
     body: bytes
-    time_left_s: float
+    timeout_s: float
     organisation: str | None = None
     expected_version: int | None = None
     resume_after: int | None = None
     priority: int | None = None
-    check: Callable[[], None] | None = None
+    before_send: Callable[[], None] | None = None
 
 
 @attrs.frozen
@@ -79,9 +80,9 @@
     """One event of a stream.
 
     Attributes:
-        number: Its number, 1 or more.
-        data: Its text.
-        version: Weight version that made it.
+        number: Event number, starting at 1.
+        data: Text of the event.
+        version: Weight version that generated it.
     """
 
     number: int
@@ -90,23 +91,25 @@
 
 
 @attrs.define
-class Answer:
-    """The head of an answer, and the way to its body.
+class ServerResponse:
+    """The status and headers of a response, and its body as a stream.
 
     Attributes:
         status: HTTP status.
-        headers: Headers to pass on, lower case.
-        not_run: Whether the server says that it has not run the request.
-        wrong_server: Whether another server, or other weights, answered.
+        headers: Headers to forward, lower case.
+        not_executed: Whether the server says that it has not executed the
+            request.
+        wrong_server: Whether the response came from another server, or from
+            one with other weights, than expected.
         signature: The signature; empty if there is none.
-        version: Weight version; 0 if it names none.
-        load: Requests running and waiting there; None if it tells none.
-        body: Pieces of the body as they come.
+        version: Weight version; 0 if not given.
+        load: Requests running and queued on the server; None if not given.
+        body: Chunks of the body as they arrive.
     """
 
     status: int
     headers: dict[str, str]
-    not_run: bool
+    not_executed: bool
     wrong_server: bool
     signature: str
     version: int
@@ -115,15 +118,15 @@
 
     @property
     def is_success(self) -> bool:
-        """Whether it is a genuine success."""
+        """Whether it is a signed response with a 2xx status."""
         return 200 <= self.status < 300 and bool(self.signature)
 
 
 class OrderOutcome(enum.Enum):
-    """What became of an order."""
+    """The outcome of an order."""
 
     ACCEPTED = "accepted"
-    HOLDS_ALREADY = "holds already"
+    ALREADY_LOADED = "holds already"
     BUSY = "busy"
     FENCED = "fenced"
     REFUSED = "refused"
@@ -131,32 +134,33 @@
 
 @attrs.frozen
 class VersionOrder:
-    """Asks an engine to load a weight version.
+    """An order to an engine to load a weight version.
 
     Attributes:
         model: The model.
         version: The version.
-        keeps_runs: Whether running requests go on under the new version;
-            otherwise they end first.
-        holder: Who gives the order.
-        expected_sequence: Orders that the engine has accepted so far.
+        keeps_running_requests: Whether running requests continue under the
+            new version; otherwise they end first.
+        holder: The node that gives the order, with its fencing token.
+        expected_sequence: Number of orders that the engine is expected to have
+            accepted so far.
     """
 
     model: str
     version: int
-    keeps_runs: bool
-    holder: tenures.Holder
+    keeps_running_requests: bool
+    holder: locks.Holder
     expected_sequence: int
 
 
 @attrs.frozen
-class EngineReport:
-    """How an engine stands.
+class EngineStatus:
+    """The status of an engine.
 
     Attributes:
         versions: Weight version by model.
-        is_loading: Whether an order is under way.
-        sequence: Orders accepted since its start.
+        is_loading: Whether it is loading weights.
+        sequence: Number of orders accepted since its start.
     """
 
     versions: dict[str, int]
@@ -165,40 +169,43 @@
 
 
 class ServerClient(Protocol):
-    """What the product asks of backend servers."""
+    """Client for backend servers."""
 
     def run(
-        self, server: roster.Server, call: Call, connect_s: float
-    ) -> contextlib.AbstractAsyncContextManager[Answer]:
-        """Sends a request; leaving the context early abandons the answer.
+        self, server: registry.Server, call: Call, connect_s: float
+    ) -> contextlib.AbstractAsyncContextManager[ServerResponse]:
+        """Sends a request; leaving the context early aborts the response.
 
         Raises:
-            ServerError: If no genuine answer comes.
+            ServerError: If no response arrives that is known to be the
+                server's own.
         """
         ...
 
-    def events(self, answer: Answer) -> AsyncIterator[StreamEvent]:
-        """Yields the whole events of a streamed answer.
+    def events(self, response: ServerResponse) -> AsyncIterator[StreamEvent]:
+        """Yields the complete events of a streamed response.
 
         Raises:
-            ServerError: If the stream breaks off or makes no sense.
+            ServerError: If the stream is cut off or malformed.
         """
         ...
 
     async def order(
-        self, server: roster.Server, order: VersionOrder
+        self, server: registry.Server, order: VersionOrder
     ) -> OrderOutcome:
-        """Gives an order and returns its ``OrderOutcome``.
+        """Sends an order and returns its outcome.
 
         Raises:
-            ServerError: If its fate is unknown or the server is not there.
+            ServerError: If the outcome is unknown or the server is unreachable.
         """
         ...
 
-    async def report(self, server: roster.Server) -> EngineReport:
-        """Returns how an engine stands.
+    async def fetch_engine_status(
+        self, server: registry.Server
+    ) -> EngineStatus:
+        """Returns the status of an engine.
 
         Raises:
-            ServerError: If it does not tell.
+            ServerError: If the engine does not return a valid status.
         """
         ...
--- /dev/null
+++ b/src/kingcupscale/gateway/callerservice.py
@@ -0,0 +1,163 @@
+"""The service that callers use: single calls and batches."""
+
+from collections.abc import Callable
+
+from kingcupscale import clock as clocks
+from kingcupscale import errors
+from kingcupscale import events
+from kingcupscale.batches import batch as batches
+from kingcupscale.batches import cache as caches
+from kingcupscale.batches import record as records
+from kingcupscale.fleet import catalogue
+from kingcupscale.gateway import admission as admissions
+from kingcupscale.gateway import forwarder
+from kingcupscale.gateway import inboundrequest
+from kingcupscale.web import message
+
+# The response is sent this long before the caller's deadline, so that it
+# arrives in time.
+RESPONSE_MARGIN_S = 0.3
+# Longest wait for the store when a batch is submitted or ended. Outages often
+# end sooner, and a caller that was rejected would only retry at another node,
+# which uses the same store.
+STORE_TIMEOUT_S = 7.0
+
+
+class CallerService:
+    """Serves single calls and batches of authenticated callers.
+
+    Args:
+        admission: Finds routes and authenticates organisations.
+        forward: Forwards single calls to backend servers.
+        batch_cache: The batches.
+        clock: The clock.
+        find_not_ready_error: Returns why the node admits no requests now, or
+            None.
+    """
+
+    def __init__(
+        self,
+        admission: admissions.Admission,
+        forward: forwarder.Forwarder,
+        batch_cache: caches.BatchCache,
+        clock: clocks.Clock,
+        find_not_ready_error: Callable[[], errors.ServiceError | None],
+    ) -> None:
+        self.admission = admission
+        self.forwarder = forward
+        self.batch_cache = batch_cache
+        self.clock = clock
+        self.find_not_ready_error = find_not_ready_error
+
+    def check_ready(self) -> None:
+        """Checks that the node admits requests now.
+
+        Raises:
+            ServiceError: If it does not, with the reason.
+        """
+        error = self.find_not_ready_error()
+        if error is not None:
+            raise error
+
+    def admit(
+        self, inbound: inboundrequest.InboundRequest
+    ) -> tuple[catalogue.Route, catalogue.Organisation | None]:
+        """Returns a request's route and organisation.
+
+        Raises:
+            ServiceError: If the node is not ready, there is no route, or the
+                key gives no access.
+        """
+        self.check_ready()
+        return self.admission.admit(inbound)
+
+    async def call(
+        self, inbound: inboundrequest.InboundRequest
+    ) -> message.Response:
+        """Returns the response to a single call.
+
+        Raises:
+            ServiceError: If no backend server responds in time.
+        """
+        return await self.forwarder.forward(inbound)
+
+    async def submit_batch(
+        self, new: batches.Batch, inbound: inboundrequest.InboundRequest
+    ) -> None:
+        """Stores a new batch; submitting it again changes nothing.
+
+        Raises:
+            ServiceError: If the batch is invalid, belongs to another
+                organisation, or may not have been stored.
+        """
+        problem = new.find_problem()
+        if problem is not None:
+            raise errors.ServiceError(errors.ResultCode.BODY_INVALID, problem)
+        known = self.batch_cache.records.get(new.id)
+        if known and known.batch.organisation != new.organisation:
+            raise self.admission.make_refusal(errors.ResultCode.BATCH_UNKNOWN)
+        timeout_s = min(STORE_TIMEOUT_S, inbound.timeout_s - RESPONSE_MARGIN_S)
+        is_new = await self.batch_cache.accept(new, timeout_s)
+        events.log(
+            events.Event.BATCH_ACCEPTED,
+            batch=new.id,
+            organisation=new.organisation,
+            step=new.step,
+            items=len(new.items),
+            is_new=is_new,
+            took_s=round(self.clock.monotonic() - inbound.received_at, 3),
+        )
+
+    async def find_batch(self, batch_id: str, key: str) -> records.Record:
+        """Returns a batch that a key gives access to.
+
+        Raises:
+            ServiceError: If there is none, or the configuration may be too
+                old to tell.
+        """
+        self.check_ready()
+        organisation = self.admission.authenticate(None, key)
+        name = organisation.name if organisation else ""
+        # Taken here, because it has to match the configuration by which the
+        # key was looked up; finding the batch may take a while.
+        stale = self.admission.find_staleness_error()
+        try:
+            return await self.batch_cache.find(batch_id, name)
+        except errors.ServiceError as e:
+            is_known = batch_id in self.batch_cache.records
+            if stale and is_known and e.code is errors.ResultCode.BATCH_UNKNOWN:
+                raise stale from None
+            raise
+
+    async def read_results(
+        self, record: records.Record, after: int, wait_s: float
+    ) -> list[batches.Result]:
+        """Returns results from a position on, waiting for the first one."""
+        return await self.batch_cache.read(record, after, wait_s)
+
+    def find_item_body(self, record: records.Record, item_id: str) -> bytes:
+        """Returns the body of an item of a batch that has not ended.
+
+        Raises:
+            ServiceError: ``ITEM_UNKNOWN``.
+        """
+        for item in record.batch.items:
+            if item.id == item_id and not record.is_ended:
+                return item.body
+        raise errors.ServiceError(errors.ResultCode.ITEM_UNKNOWN)
+
+    async def end_batch(self, record: records.Record, timeout_s: float) -> None:
+        """Ends a batch.
+
+        Raises:
+            ServiceError: If the end may not have been stored.
+        """
+        timeout_s = min(STORE_TIMEOUT_S, timeout_s - RESPONSE_MARGIN_S)
+        await self.batch_cache.end(record, timeout_s)
+        events.log(
+            events.Event.BATCH_ENDED,
+            batch=record.batch.id,
+            step=record.batch.step,
+            listed=len(record.results),
+            total=len(record.batch.items),
+        )
--- a/src/kingcupscale/gateway/forwarder.py
+++ b/src/kingcupscale/gateway/forwarder.py
@@ -1,4 +1,4 @@
-"""Passing single calls on to plain servers and model engines."""
+"""Forwards single calls to backend servers, with retries and timeouts."""
 
 import contextlib
 import random
@@ -11,63 +11,73 @@
 from kingcupscale import events
 from kingcupscale import metrics
 from kingcupscale.fleet import catalogue
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
 from kingcupscale.gateway import admission as admissions
-from kingcupscale.gateway import attempts as tries
-from kingcupscale.gateway import inbound as inbounds
-from kingcupscale.gateway import passing
+from kingcupscale.gateway import backoff
+from kingcupscale.gateway import callstate
+from kingcupscale.gateway import inboundrequest
 from kingcupscale.gateway import placement
-from kingcupscale.gateway import refusal
+from kingcupscale.gateway import responsestream
 from kingcupscale.web import message
 
-# A server in the same region accepts a connection within milliseconds.
-CONNECT_S = 0.25
-# An attempt is given up for another server after this many times the wanted
-# latency, if the call may be repeated; later attempts get twice as long.
-ATTEMPT_PATIENCE = 1.5
-ATTEMPT_LEAST_S = 0.15
-# How often a call looks for room while all servers are full, and for how much
-# of the wanted latency.
-ROOM_POLL_S = 0.02
-ROOM_PATIENCE = 1.0
-# Bodies up to this size are held back until they are whole, so that a call
-# whose answer breaks off can be repeated; longer ones are passed on as they
-# come, so that memory is bounded whatever a server sends.
-HELD_BYTES_MOST = 64 * 1024
-# Weight of the newest answer in a service's mean latency.
+# Backend servers are in the same region and accept connections within
+# milliseconds.
+CONNECT_TIMEOUT_S = 0.25
+# Timeout of an attempt, as a multiple of the expected latency. It applies to
+# calls that may be repeated; the call is then retried on another server. The
+# timeout doubles with each attempt.
+ATTEMPT_TIMEOUT_FACTOR = 1.5
+# Lower bound of the expected latency in the timeout of an attempt.
+MIN_EXPECTED_LATENCY_S = 0.15
+# Poll interval for a free server while all servers are at capacity.
+QUEUE_POLL_S = 0.02
+# Longest wait for a free server, as a multiple of the target latency.
+QUEUE_WAIT_FACTOR = 1.0
+# Response bodies up to this size are buffered until they are complete, so that
+# a call can be retried if its response is cut off. Longer bodies are streamed
+# to the caller, so that memory use is bounded whatever a server sends.
+MAX_BUFFERED_BYTES = 64 * 1024
+# Weight of the newest response in a service's moving average of the latency.
 LATENCY_WEIGHT = 0.05
 
 
 class UsageCounter(Protocol):
-    """Counts requests that began to run."""
+    """Counts the requests that backend servers started to run."""
 
-    def note_begun(self, organisation: str) -> None:
-        """Counts one, begun now."""
+    def count_started(self, organisation: str) -> None:
+        """Counts one request of an organisation, started now."""
         ...
 
 
 class Forwarder:
-    """Answers single calls by way of backend servers.
+    """Forwards single calls to backend servers.
+
+    It chooses a server, sends the call, and retries it on another server if
+    the route allows that. A route that allows no retries is sent again only
+    after responses that say that the server has not executed the call.
 
     Args:
-        admission: Finds routes and organisations.
-        servers: The servers.
-        client: Calls them.
-        usage: Counts what organisations run.
-        measures: Counters and histograms.
-        clock: Tells the time.
-        rng: Decides among equals.
+        admission: Finds the route and authenticates the organisation.
+        servers: The known backend servers.
+        client: Sends requests to backend servers.
+        usage: Counts the requests of each organisation.
+        call_metrics: Records the latency of calls.
+        clock: The clock.
+        rng: Picks services by weight, breaks ties and adds jitter.
         zone: Availability zone of this node.
+
+    Attributes:
+        latency_s: Moving average of the latency, by service.
     """
 
     def __init__(
         self,
         admission: admissions.Admission,
-        servers: roster.Roster,
+        servers: registry.ServerRegistry,
         client: serverclient.ServerClient,
         usage: UsageCounter,
-        measures: metrics.Metrics,
+        call_metrics: metrics.Metrics,
         clock: clocks.Clock,
         rng: random.Random,
         zone: str,
@@ -76,154 +86,166 @@
         self.servers = servers
         self.client = client
         self.usage = usage
-        self.measures = measures
+        self.metrics = call_metrics
         self.clock = clock
         self.rng = rng
         self.zone = zone
         self.latency_s: dict[str, float] = {}
 
-    async def forward(self, inbound: inbounds.Inbound) -> message.Response:
-        """Returns the answer of a backend server.
+    async def forward(
+        self, inbound: inboundrequest.InboundRequest
+    ) -> message.Response:
+        """Forwards a call and returns the response of a backend server.
 
         Raises:
-            ServiceError: If none of them answers in time.
-            WithdrawnError: If the call may not leave any more.
+            ServiceError: If the call is not admitted, or no server responds
+                in time.
+            NotSentError: If the request's ``before_send`` check fails.
         """
         route, organisation = self.admission.admit(inbound)
-        attempts = tries.Attempts(
+        state = callstate.CallState(
             route,
             organisation,
-            self._draw_service(route),
-            inbound.received_at + _patience_s(inbound, route),
-            inbound.received_at + ROOM_PATIENCE * route.target_s,
+            self._pick_service(route),
+            inbound.received_at + _time_limit_s(inbound, route),
+            inbound.received_at + QUEUE_WAIT_FACTOR * route.target_latency_s,
         )
-        last: message.Response | None = None
+        last_response: message.Response | None = None
         while True:
-            server = await self._find_server(inbound, attempts)
+            server = await self._wait_for_server(inbound, state)
             if server is None:
                 break
-            answer = await self._attempt(inbound, attempts, server)
-            if answer is not None:
-                last = answer
-                if answer.status < 500 or not self._may_retry(attempts):
+            response = await self._try_server(inbound, state, server)
+            if response is not None:
+                last_response = response
+                if response.status < 500 or not self._may_retry(state):
                     break
-            elif attempts.reason and not self._may_retry(attempts):
+            elif state.reason and not self._may_retry(state):
                 break
-        if last is None:
-            raise self._failure(inbound, attempts)
-        self._record(inbound, attempts, last)
-        return last
+        if last_response is None:
+            raise self._make_error(inbound, state)
+        self._record(inbound, state, last_response)
+        return last_response
 
     def _record(
         self,
-        inbound: inbounds.Inbound,
-        attempts: tries.Attempts,
-        answer: message.Response,
+        inbound: inboundrequest.InboundRequest,
+        state: callstate.CallState,
+        response: message.Response,
     ) -> None:
         elapsed_s = self.clock.monotonic() - inbound.received_at
-        label = attempts.organisation.name if attempts.organisation else "open"
-        self.measures.record(
+        label = state.organisation.name if state.organisation else "open"
+        self.metrics.record(
             label,
-            attempts.route.name,
+            state.route.name,
             metrics.Measure.TOTAL_MS,
             elapsed_s * 1000,
         )
-        is_late = elapsed_s > attempts.route.target_s
-        if is_late or answer.status >= 500 or attempts.sent > 1:
+        is_late = elapsed_s > state.route.target_latency_s
+        if is_late or response.status >= 500 or state.sent > 1:
             events.log(
                 events.Event.CALL_ANSWERED,
                 request=inbound.request_id,
-                route=attempts.route.name,
-                status=answer.status,
+                route=state.route.name,
+                status=response.status,
                 elapsed_s=round(elapsed_s, 3),
-                sent=attempts.sent,
-                tried=sorted(attempts.tried),
-                reason=attempts.reason,
+                sent=state.sent,
+                tried=sorted(state.tried),
+                reason=state.reason,
             )
 
-    def _draw_service(self, route: catalogue.Route) -> str:
+    def _pick_service(self, route: catalogue.Route) -> str:
         weights = [share.weight for share in route.shares]
         if len(weights) == 1 or sum(weights) <= 0:
             return route.shares[0].service
         return self.rng.choices(route.shares, weights)[0].service
 
-    def _may_retry(self, attempts: tries.Attempts) -> bool:
+    def _may_retry(self, state: callstate.CallState) -> bool:
         return (
-            attempts.route.may_repeat()
-            and attempts.sent < attempts.route.max_attempts
-            and self.clock.monotonic() < attempts.deadline
+            state.route.allows_retry()
+            and state.sent < state.route.max_attempts
+            and self.clock.monotonic() < state.deadline
         )
 
-    async def _find_server(
-        self, inbound: inbounds.Inbound, attempts: tries.Attempts
-    ) -> roster.Server | None:
-        """Returns a server with room, waiting a little for one."""
-        until = attempts.wait_until
+    async def _wait_for_server(
+        self,
+        inbound: inboundrequest.InboundRequest,
+        state: callstate.CallState,
+    ) -> registry.Server | None:
+        """Returns a server with a free slot, or None if none gets one in time.
+
+        Background calls wait until their deadline, others only for
+        ``QUEUE_WAIT_FACTOR`` times the target latency.
+        """
+        until = state.wait_until
         if inbound.is_background:
-            until = attempts.deadline
+            until = state.deadline
         while True:
             now = self.clock.monotonic()
-            if now >= attempts.deadline:
+            if now >= state.deadline:
                 return None
-            server = self._choose(inbound, attempts, now)
+            server = self._choose_server(inbound, state, now)
             if server is not None:
                 return server
             if now >= until:
                 return None
-            attempts.full.clear()
-            await self.clock.sleep(ROOM_POLL_S)
+            state.unavailable.clear()
+            await self.clock.sleep(QUEUE_POLL_S)
 
-    def _choose(
-        self, inbound: inbounds.Inbound, attempts: tries.Attempts, now: float
-    ) -> roster.Server | None:
+    def _choose_server(
+        self,
+        inbound: inboundrequest.InboundRequest,
+        state: callstate.CallState,
+        now: float,
+    ) -> registry.Server | None:
         usable = [
             server
-            for server in self.servers.of_service(attempts.service)
-            if server.is_usable(now) and server.id not in attempts.full
+            for server in self.servers.list_servers(state.service)
+            if server.is_usable(now) and server.id not in state.unavailable
         ]
         if inbound.is_background:
-            # Calls that nobody waits for leave a slot free at each server.
+            # Background calls leave one slot of each server to other calls.
             usable = [
                 s for s in usable if s.load(now) < max(1, s.entry.slots - 1)
             ]
-        fresh = [s for s in usable if s.id not in attempts.tried]
-        return placement.choose(fresh or usable, self.zone, now, self.rng)
+        untried = [s for s in usable if s.id not in state.tried]
+        return placement.choose(untried or usable, self.zone, now, self.rng)
 
-    async def _attempt(
+    async def _try_server(
         self,
-        inbound: inbounds.Inbound,
-        attempts: tries.Attempts,
-        server: roster.Server,
+        inbound: inboundrequest.InboundRequest,
+        state: callstate.CallState,
+        server: registry.Server,
     ) -> message.Response | None:
-        """Sends a call once; None if that brought no answer to pass on."""
+        """Sends a call to one server; returns None if the attempt failed."""
         now = self.clock.monotonic()
-        left_s = min(attempts.deadline - now, attempts.route.timeout_s)
-        limit_s = left_s
-        if attempts.route.may_repeat() and not attempts.route.is_streaming:
-            limit_s = min(left_s, self._attempt_limit_s(attempts))
-        call = self._make_call(inbound, attempts, left_s)
+        left_s = min(state.deadline - now, state.route.timeout_s)
+        timeout_s = left_s
+        if state.route.allows_retry() and not state.route.is_streaming:
+            timeout_s = min(left_s, self._attempt_timeout_s(state))
+        call = self._make_call(inbound, state, left_s)
         server.in_flight += 1
-        answer: message.Response | None = None
+        response: message.Response | None = None
         try:
-            with trio.move_on_after(limit_s) as scope:
-                answer = await self._exchange(attempts, server, call)
+            with trio.move_on_after(timeout_s) as scope:
+                response = await self._send_call(state, server, call)
             if scope.cancelled_caught:
-                attempts.sent += 1
-                attempts.tried.add(server.id)
-                attempts.reason = f"no answer in {limit_s:.2f} s"
-                self._learn_latency(attempts.service, limit_s)
-                server.note_failure(self.clock.monotonic())
-        except serverclient.WithdrawnError:
+                state.sent += 1
+                state.tried.add(server.id)
+                state.reason = f"no response within {timeout_s:.2f} s"
+                self._update_latency(state.service, timeout_s)
+                server.record_failure(self.clock.monotonic())
+        except serverclient.NotSentError:
             raise
         except serverclient.ServerError as e:
-            attempts.reason = e.reason
+            state.reason = e.reason
             if e.may_have_run:
-                attempts.sent += 1
-                attempts.tried.add(server.id)
+                state.sent += 1
+                state.tried.add(server.id)
             else:
-                attempts.full.add(server.id)
-                attempts.reason = ""
-            server.note_failure(self.clock.monotonic())
+                state.unavailable.add(server.id)
+                state.reason = ""
+            server.record_failure(self.clock.monotonic())
             events.log(
                 events.Event.ANSWER_REJECTED,
                 request=call.request_id,
@@ -233,22 +255,25 @@
             )
         finally:
             server.in_flight -= 1
-        return answer
+        return response
 
-    def _attempt_limit_s(self, attempts: tries.Attempts) -> float:
-        if attempts.sent + 1 >= attempts.route.max_attempts:
+    def _attempt_timeout_s(self, state: callstate.CallState) -> float:
+        if state.sent + 1 >= state.route.max_attempts:
             return float("inf")
-        usual_s = max(
-            attempts.route.target_s,
-            2 * self.latency_s.get(attempts.service, 0.0),
-            ATTEMPT_LEAST_S,
+        expected_s = max(
+            state.route.target_latency_s,
+            2 * self.latency_s.get(state.service, 0.0),
+            MIN_EXPECTED_LATENCY_S,
         )
-        return ATTEMPT_PATIENCE * usual_s * 2**attempts.sent
+        return ATTEMPT_TIMEOUT_FACTOR * expected_s * 2**state.sent
 
     def _make_call(
-        self, inbound: inbounds.Inbound, attempts: tries.Attempts, left_s: float
+        self,
+        inbound: inboundrequest.InboundRequest,
+        state: callstate.CallState,
+        left_s: float,
     ) -> serverclient.Call:
-        organisation = attempts.organisation
+        organisation = state.organisation
         return serverclient.Call(
             request_id=inbound.request_id,
             method=inbound.method,
@@ -257,160 +282,182 @@
             host=inbound.host,
             headers=inbound.headers,
             body=inbound.body,
-            time_left_s=left_s,
+            timeout_s=left_s,
             organisation=organisation.name if organisation else None,
             resume_after=inbound.resume_after,
-            check=inbound.check,
+            before_send=inbound.before_send,
         )
 
-    async def _exchange(
+    async def _send_call(
         self,
-        attempts: tries.Attempts,
-        server: roster.Server,
+        state: callstate.CallState,
+        server: registry.Server,
         call: serverclient.Call,
     ) -> message.Response | None:
-        began_at = self.clock.monotonic()
-        if attempts.route.is_streaming:
-            return await self._open_stream(attempts, server, call)
+        started_at = self.clock.monotonic()
+        if state.route.is_streaming:
+            return await self._open_stream(state, server, call)
         stack = contextlib.AsyncExitStack()
         async with contextlib.AsyncExitStack() as opening:
-            answer = await opening.enter_async_context(
-                self.client.run(server, call, CONNECT_S)
+            server_response = await opening.enter_async_context(
+                self.client.run(server, call, CONNECT_TIMEOUT_S)
             )
-            if self._was_turned_away(attempts, server, answer):
+            if self._was_rejected(state, server, server_response):
                 return None
             response = message.Response(
-                answer.status,
-                answer.headers,
-                chunks=answer.body,
-                signature=answer.signature,
+                server_response.status,
+                server_response.headers,
+                chunks=server_response.body,
+                signature=server_response.signature,
             )
-            is_whole = await response.read_within(HELD_BYTES_MOST)
-            self._check(answer)
+            is_whole = await response.read_at_most(MAX_BUFFERED_BYTES)
+            self._check_signature(server_response)
             if not is_whole:
                 stack = opening.pop_all()
-        attempts.sent += 1
-        attempts.tried.add(server.id)
-        self._learn(attempts, server, began_at)
+        state.sent += 1
+        state.tried.add(server.id)
+        self._record_success(state, server, started_at)
         if not is_whole:
-            response.chunks = passing.pass_on(
-                stack, response.body, answer, attempts.deadline, self.clock
+            response.chunks = responsestream.stream_body(
+                stack,
+                response.body,
+                server_response,
+                state.deadline,
+                self.clock,
             )
         return response
 
-    def _was_turned_away(
+    def _was_rejected(
         self,
-        attempts: tries.Attempts,
-        server: roster.Server,
-        answer: serverclient.Answer,
+        state: callstate.CallState,
+        server: registry.Server,
+        server_response: serverclient.ServerResponse,
     ) -> bool:
         now = self.clock.monotonic()
-        if answer.load is not None:
-            server.note_load(answer.load, now)
-        if not answer.not_run:
+        if server_response.load is not None:
+            server.update_load(server_response.load, now)
+        if not server_response.not_executed:
             return False
-        attempts.full.add(server.id)
-        if answer.wrong_server:
-            server.note_failure(now)
+        state.unavailable.add(server.id)
+        if server_response.wrong_server:
+            server.record_failure(now)
         return True
 
-    def _check(self, answer: serverclient.Answer) -> None:
-        if not answer.signature:
+    def _check_signature(
+        self, server_response: serverclient.ServerResponse
+    ) -> None:
+        if not server_response.signature:
             raise serverclient.ServerError(
-                f"status {answer.status} without a signature", True
+                f"expected a signature, status is {server_response.status}",
+                True,
             )
 
-    def _learn(
-        self, attempts: tries.Attempts, server: roster.Server, began_at: float
+    def _record_success(
+        self,
+        state: callstate.CallState,
+        server: registry.Server,
+        started_at: float,
     ) -> None:
-        elapsed_s = self.clock.monotonic() - began_at
-        usual_s = self._learn_latency(attempts.service, elapsed_s)
-        server.note_success()
-        server.note_pace(elapsed_s / max(usual_s, 0.001))
-        if attempts.organisation is not None:
-            self.usage.note_begun(attempts.organisation.name)
-
-    def _learn_latency(self, service: str, elapsed_s: float) -> float:
-        """Adds a call to a service's mean latency, and returns the one before.
-
-        A call that was given up took at least as long as it was waited for;
-        without those, a node that is slow itself would give up all calls.
+        elapsed_s = self.clock.monotonic() - started_at
+        expected_s = self._update_latency(state.service, elapsed_s)
+        server.record_success()
+        server.update_relative_latency(elapsed_s / max(expected_s, 0.001))
+        if state.organisation is not None:
+            self.usage.count_started(state.organisation.name)
+
+    def _update_latency(self, service: str, elapsed_s: float) -> float:
+        """Updates a service's mean latency and returns its previous value.
+
+        Calls that timed out are included with the time spent waiting, which is
+        a lower bound of their latency. Without them, the expected latency would
+        stay too low on a node that is slow itself, and all calls would time
+        out.
         """
-        usual_s = self.latency_s.setdefault(service, elapsed_s)
-        self.latency_s[service] = usual_s + LATENCY_WEIGHT * (
-            elapsed_s - usual_s
+        expected_s = self.latency_s.setdefault(service, elapsed_s)
+        self.latency_s[service] = expected_s + LATENCY_WEIGHT * (
+            elapsed_s - expected_s
         )
-        return usual_s
+        return expected_s
 
     async def _open_stream(
         self,
-        attempts: tries.Attempts,
-        server: roster.Server,
+        state: callstate.CallState,
+        server: registry.Server,
         call: serverclient.Call,
     ) -> message.Response | None:
-        """Returns an answer whose events are passed on as they come."""
+        """Returns a response whose events are streamed as they arrive."""
         stack = contextlib.AsyncExitStack()
         async with contextlib.AsyncExitStack() as opening:
-            answer = await opening.enter_async_context(
-                self.client.run(server, call, CONNECT_S)
+            server_response = await opening.enter_async_context(
+                self.client.run(server, call, CONNECT_TIMEOUT_S)
             )
-            if self._was_turned_away(attempts, server, answer):
+            if self._was_rejected(state, server, server_response):
                 return None
-            self._check(answer)
+            self._check_signature(server_response)
             stack = opening.pop_all()
-        attempts.sent += 1
-        attempts.tried.add(server.id)
-        if attempts.organisation is not None:
-            self.usage.note_begun(attempts.organisation.name)
-        until = attempts.deadline + passing.STREAM_MARGIN_S
-        pieces = passing.pass_on(stack, b"", answer, until, self.clock)
-        return message.Response(answer.status, answer.headers, chunks=pieces)
-
-    def _failure(
-        self, inbound: inbounds.Inbound, attempts: tries.Attempts
+        state.sent += 1
+        state.tried.add(server.id)
+        if state.organisation is not None:
+            self.usage.count_started(state.organisation.name)
+        until = state.deadline + responsestream.STREAM_MARGIN_S
+        pieces = responsestream.stream_body(
+            stack, b"", server_response, until, self.clock
+        )
+        return message.Response(
+            server_response.status, server_response.headers, chunks=pieces
+        )
+
+    def _make_error(
+        self,
+        inbound: inboundrequest.InboundRequest,
+        state: callstate.CallState,
     ) -> errors.ServiceError:
         now = self.clock.monotonic()
-        left_s = inbound.received_at + inbound.patience_s - now
-        if attempts.sent:
+        left_s = inbound.received_at + inbound.timeout_s - now
+        if state.sent:
             code = (
                 errors.ResultCode.BACKEND_TIMEOUT
-                if now >= attempts.deadline
+                if now >= state.deadline
                 else errors.ResultCode.BACKEND_FAILED
             )
-            failure = errors.ServiceError(
-                code, attempts.reason, errors.Run.UNKNOWN
-            )
+            error = errors.ServiceError(code, state.reason, errors.Run.UNKNOWN)
         else:
-            servers = self.servers.of_service(attempts.service)
-            is_any = any(s.is_usable(now) for s in servers)
+            servers = self.servers.list_servers(state.service)
+            has_usable = any(s.is_usable(now) for s in servers)
             code = (
                 errors.ResultCode.DEADLINE_UNMET
-                if is_any
+                if has_usable
                 else errors.ResultCode.NO_SERVER
             )
-            wait_s = self.latency_s.get(attempts.service, 0.1)
-            failure = errors.ServiceError(
+            wait_s = self.latency_s.get(state.service, 0.1)
+            error = errors.ServiceError(
                 code,
-                attempts.reason,
-                retry_after_s=refusal.retry_after_s(wait_s, left_s, self.rng),
+                state.reason,
+                retry_after_s=backoff.retry_after_s(wait_s, left_s, self.rng),
             )
         events.log(
             events.Event.CALL_REFUSED,
             request=inbound.request_id,
-            route=attempts.route.name,
-            service=attempts.service,
+            route=state.route.name,
+            service=state.service,
             code=code.number,
-            sent=attempts.sent,
-            tried=sorted(attempts.tried),
-            full=sorted(attempts.full),
-            reason=attempts.reason,
+            sent=state.sent,
+            tried=sorted(state.tried),
+            full=sorted(state.unavailable),
+            reason=state.reason,
             left_s=round(left_s, 3),
         )
-        return failure
+        return error
 
 
-def _patience_s(inbound: inbounds.Inbound, route: catalogue.Route) -> float:
-    """Returns for how long a call may wait for room and for answers."""
+def _time_limit_s(
+    inbound: inboundrequest.InboundRequest, route: catalogue.Route
+) -> float:
+    """Returns the time limit of a call, including waiting and retries.
+
+    A background call has only the limit of its sender, because the route's
+    limit would also count the time spent waiting for a free server.
+    """
     if inbound.is_background:
-        return inbound.patience_s
-    return min(inbound.patience_s, route.timeout_s)
+        return inbound.timeout_s
+    return min(inbound.timeout_s, route.timeout_s)
--- a/src/kingcupscale/node.py
+++ b/src/kingcupscale/node.py
@@ -22,7 +22,7 @@
 from kingcupscale.duties import candidates
 from kingcupscale.duties import journal
 from kingcupscale.duties import lease
-from kingcupscale.duties import orders
+from kingcupscale.duties import ordersender
 from kingcupscale.duties import runner
 from kingcupscale.operating import api
 from kingcupscale.operating import handover
@@ -40,17 +40,17 @@
 from kingcupscale.rollouts import activation
 from kingcupscale.rollouts import publication
 from kingcupscale.rollouts import service as rollouts
+from kingcupscale.serving import callerapi
 from kingcupscale.serving import claims
 from kingcupscale.serving import completion
-from kingcupscale.serving import entry
 from kingcupscale.serving import generation
-from kingcupscale.serving import plain
+from kingcupscale.serving import plainservices
 from kingcupscale.serving import services
 from kingcupscale.serving import sessions
-from kingcupscale.usage import copying
 from kingcupscale.usage import counter
+from kingcupscale.usage import counterreplication
 from kingcupscale.usage import reporting
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 
 ZONE_TICK_S = 0.5
 USAGE_TICK_S = 1.0
@@ -63,14 +63,14 @@
     """What a node reaches the world by.
 
     Attributes:
-        exchanger: Carries HTTP requests.
+        http_client: Carries HTTP requests.
         peers: Calls other nodes.
         clock: Tells the time.
         rng: Spreads choices.
         peer_address: ``host:port`` at which peers reach this node.
     """
 
-    exchanger: exchange.Exchanger
+    http_client: httpclient.HttpClient
     peers: transport.PeerTransport
     clock: clocks.Clock
     rng: random.Random
@@ -114,15 +114,15 @@
 
     def _make_platform(self) -> None:
         platform = self.settings.platform
-        exchanger = self.surroundings.exchanger
+        http_client = self.surroundings.http_client
         timeout_s = self.settings.timings.order_timeout_s
-        self.store = keyvalue.HttpKeyValueStore(exchanger, platform.key_value)
-        self.directory = vmlist.HttpVmDirectory(exchanger, platform.vm_list)
+        self.store = keyvalue.HttpKeyValueStore(http_client, platform.key_value)
+        self.directory = vmlist.HttpVmDirectory(http_client, platform.vm_list)
         self.intake = usageintake.HttpUsageIntake(
-            exchanger, platform.usage, timeout_s
+            http_client, platform.usage, timeout_s
         )
         self.provider = capacityprovider.HttpCapacityProvider(
-            exchanger, platform.capacity, timeout_s
+            http_client, platform.capacity, timeout_s
         )
 
     def _make_membership(self) -> None:
@@ -170,13 +170,13 @@
         self.editor = editor.Editor(self.spreader, self.clock)
 
     def _make_serving(self) -> None:
-        exchanger = self.surroundings.exchanger
+        http_client = self.surroundings.http_client
         name = f"{self.settings.name}/{self.incarnation}"
         self.metrics = metrics.Metrics(
             metrics.make_client(self.settings.statsd)
         )
         self.counters = counter.Counters(name)
-        self.copier = copying.Copier(
+        self.counter_replicator = counterreplication.CounterReplicator(
             self.counters,
             self.members,
             self.surroundings.peers,
@@ -189,12 +189,12 @@
         key_ring = keys.KeyRing(self.replica)
         self.sessions = sessions.Sessions(key_ring)
         generator = generation.Generator(
-            self.pools, exchanger, self.counters, self.metrics
+            self.pools, http_client, self.counters, self.metrics
         )
-        plain_caller = plain.PlainCaller(
+        plain_service_client = plainservices.PlainServiceClient(
             self.pools,
-            exchanger,
-            claims.Claims(self.store, name),
+            http_client,
+            claims.ClaimStore(self.store, name),
             self.counters,
             self.metrics,
         )
@@ -202,22 +202,22 @@
         self.rollouts = rollouts.RolloutService(
             self.replica,
             generator,
-            plain_caller,
+            plain_service_client,
             self.publications,
             weightstore.HttpWeightStore(
-                exchanger, self.settings.platform.weights
+                http_client, self.settings.platform.weights
             ),
             self.metrics,
             self.clock,
         )
-        self.entry = entry.Entry(
+        self.caller_api = callerapi.CallerApi(
             key_ring,
             self.admission,
             self.sessions,
             completion.Completions(
                 generator, self.sessions, self.clock, self.metrics
             ),
-            plain_caller,
+            plain_service_client,
             self.rollouts,
         )
 
@@ -239,7 +239,7 @@
             nursery.start_soon(self.gossip.run)
             nursery.start_soon(self.pools.run)
             nursery.start_soon(self.rollouts.run)
-            nursery.start_soon(self.copier.run)
+            nursery.start_soon(self.counter_replicator.run)
             nursery.start_soon(self._run_configured, nursery)
             await self.drain_asked.wait()
             await self._drain()
@@ -271,20 +271,27 @@
 
     def _start_zone_duty(self, zone: str, nursery: trio.Nursery) -> None:
         held = self._start_lease(f"zone/{zone}", zone, nursery)
-        desk = orders.OrderDesk(held, journal.Journal(self.store, held))
-        weights = activation.Activation(
+        order_sender = ordersender.OrderSender(
+            held, journal.Journal(self.store, held)
+        )
+        weights = activation.WeightActivator(
             zone,
             self.pools,
             self.publications,
-            self.surroundings.exchanger,
-            desk,
+            self.surroundings.http_client,
+            order_sender,
             self.clock,
             self.settings.timings.order_timeout_s,
         )
         servers = ordering.Ordering(
-            zone, self.pools, self.provider, self.editor, desk, self.clock
+            zone,
+            self.pools,
+            self.provider,
+            self.editor,
+            order_sender,
+            self.clock,
         )
-        duty = zones.ZoneDuty(desk, weights, servers)
+        duty = zones.ZoneDuty(order_sender, weights, servers)
         nursery.start_soon(
             runner.DutyRunner(held, duty, self.clock, ZONE_TICK_S).run
         )
@@ -297,7 +304,7 @@
             held,
             self.store,
             self.intake,
-            self.copier,
+            self.counter_replicator,
             self.clock,
             self.settings.timings.usage_window_s,
         )
@@ -324,22 +331,22 @@
         rule: Callable[[], bool] = functools.partial(
             candidates.is_candidate, name, self.members, zone
         )
-        nursery.start_soon(lease.LeaseKeeper(held, rule, self.clock).run)
+        nursery.start_soon(lease.LeaseManager(held, rule, self.clock).run)
         return held
 
     async def _drain(self) -> None:
         """Ends everything in order: announce, finish, hand over, leave."""
         timings = self.settings.timings
         events.log(events.Event.NODE_DRAINING, node=self.settings.name)
-        self.entry.is_leaving = True
+        self.caller_api.is_unready = True
         await self.clock.sleep(timings.drain_notice_s)
-        self.entry.is_draining = True
+        self.caller_api.is_draining = True
         self.rollouts.cancel_all()
         with trio.move_on_after(timings.drain_limit_s):
-            while self.entry.active or self.sessions.open_sessions:
+            while self.caller_api.active or self.sessions.open_sessions:
                 await self.clock.sleep(DRAIN_POLL_S)
         await self._release_leases()
-        await self.copier.copy_once(own_only=False)
+        await self.counter_replicator.replicate(own_only=False)
         await self.gossip.leave()
         events.log(events.Event.NODE_STOPPED, node=self.settings.name)
 
@@ -361,11 +368,11 @@
             self.settings.name,
             self.settings.zone,
             self.incarnation,
-            self.admission.is_open() and not self.entry.is_leaving,
-            self.entry.is_leaving,
+            self.admission.is_open() and not self.caller_api.is_unready,
+            self.caller_api.is_unready,
             self.replica.revision,
             self.admission.confirmed_age_s(),
-            self.entry.active,
+            self.caller_api.active,
             {n: len(p.scheduler.queue) for n, p in self.pools.pools.items()},
             [
                 messages.MemberLine(
--- a/src/kingcupscale/platform/cloud.py
+++ b/src/kingcupscale/platform/cloud.py
@@ -1,10 +1,10 @@
-"""The platform's interface for usage reports and for ordering servers."""
+"""Client of the platform's cloud API for usage reports and server orders."""
 
 from kingcupscale.capacity import fleetsize
 from kingcupscale.platform import names
-from kingcupscale.storage import tenure as tenures
+from kingcupscale.storage import locks
 from kingcupscale.usage import windows
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
 CALL_TIMEOUT_S = 1.0
@@ -14,24 +14,26 @@
     """Sends usage reports and orders over HTTP.
 
     Args:
-        exchanger: Carries the calls.
-        address: ``host:port`` of the interface.
+        http_client: The HTTP client.
+        address: ``host:port`` of the API.
     """
 
-    def __init__(self, exchanger: exchange.Exchanger, address: str) -> None:
-        self.exchanger = exchanger
+    def __init__(
+        self, http_client: httpclient.HttpClient, address: str
+    ) -> None:
+        self.http_client = http_client
         self.address = address
 
     async def report(
-        self, window: int, counts: dict[str, int], holder: tenures.Holder
+        self, window: int, counts: dict[str, int], holder: locks.Holder
     ) -> None:
-        """Sends one window's figures."""
+        """Reports the counts of one usage window."""
         body = {"window": window, "counts": counts}
         try:
             response = await self._post("/usage", body, holder)
-        except exchange.ExchangeError as e:
+        except httpclient.RequestError as e:
             raise windows.ReportError(e.reason, False) from e
-        except tenures.DutyLostError as e:
+        except locks.DutyLostError as e:
             raise windows.ReportError("the duty is not held", False) from e
         if response.status != 200:
             raise windows.ReportError(
@@ -39,9 +41,9 @@
             )
 
     async def order(
-        self, order: fleetsize.Order, holder: tenures.Holder
+        self, order: fleetsize.Order, holder: locks.Holder
     ) -> fleetsize.OrderState:
-        """Orders a number of servers."""
+        """Orders the number of servers that a service should have."""
         body = {
             "service": order.service,
             "zone": order.zone,
@@ -51,27 +53,28 @@
             body["spot"] = True
         try:
             response = await self._post("/scale", body, holder)
-        except exchange.ExchangeError as e:
+        except httpclient.RequestError as e:
             raise fleetsize.OrderError(e.reason) from e
-        except tenures.DutyLostError as e:
+        except locks.DutyLostError as e:
             raise fleetsize.OrderError("the duty is not held") from e
         if response.status == 200:
             return fleetsize.OrderState.TAKEN
-        # 409 is either a newer holder or that there are none to be had.
+        # 409 means that a newer holder has sent orders or that the cloud has no
+        # servers available.
         if response.status == 409:
             return fleetsize.OrderState.REFUSED
         raise fleetsize.OrderError(f"status {response.status}")
 
     async def _post(
-        self, path: str, body: object, holder: tenures.Holder
+        self, path: str, body: object, holder: locks.Holder
     ) -> message.Response:
         headers = {
             "host": self.address,
             names.DUTY_HOLDER: holder.node,
-            names.FENCE: str(holder.fence),
+            names.FENCING_TOKEN: str(holder.fencing_token),
         }
         request = message.json_request(path, body, headers)
         request.before_send = holder.check
-        return await exchange.fetch(
-            self.exchanger, self.address, request, CALL_TIMEOUT_S
+        return await httpclient.fetch(
+            self.http_client, self.address, request, CALL_TIMEOUT_S
         )
--- a/src/kingcupscale/platform/names.py
+++ b/src/kingcupscale/platform/names.py
@@ -1,4 +1,4 @@
-"""Headers, paths and keys as they stand on the wire."""
+"""The platform's names of headers, paths and store keys."""
 
 REQUEST_ID = "x-kingcupscale-request-id"
 DEADLINE_MS = "x-kingcupscale-deadline-ms"
@@ -8,7 +8,7 @@
 SERVER_LOAD = "x-kingcupscale-instance-load"
 ORGANISATION = "x-kingcupscale-tenant"
 KEY = "api-key"
-LEAVING = "server-leaving"
+SERVER_LEAVING = "server-leaving"
 SIGNATURE = "x-kingcupscale-server-stamp"
 NOT_RUN = "x-kingcupscale-not-executed"
 MODEL = "x-kingcupscale-model"
@@ -19,7 +19,7 @@
 WEIGHT_VERSION = "x-kingcupscale-weight-versions"
 WAIT_MS = "x-kingcupscale-wait-ms"
 DUTY_HOLDER = "x-kingcupscale-duty-holder"
-FENCE = "x-kingcupscale-fence-token"
+FENCING_TOKEN = "x-kingcupscale-fence-token"
 RESUME_AFTER = "last-event-id"
 
 BATCHES_PATH = "/lots/"
@@ -32,8 +32,8 @@
 RETIREMENTS_PREFIX = "op/retire/"
 RETIREMENT_STATES_PREFIX = "status/retire/"
 
-# Headers that concern one connection only, and those that nodes set
-# themselves, are not passed on in either direction.
+# Headers that concern one connection are not forwarded in either direction.
+# Request headers that nodes set themselves are removed from senders' requests.
 CONNECTION_HEADERS = frozenset(
     {
         "connection",
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -1,4 +1,4 @@
-"""A node on the platform: its parts wired together, and its lifecycle."""
+"""A node of the service: wires its components and runs its lifecycle."""
 
 from collections.abc import Iterable
 
@@ -6,87 +6,91 @@
 import trio
 
 from kingcupscale import candidates
+from kingcupscale import clusterstate
+from kingcupscale import dependencies
 from kingcupscale import deployment
-from kingcupscale import directives
 from kingcupscale import events
 from kingcupscale import leading
 from kingcupscale import metrics
 from kingcupscale import readiness
 from kingcupscale import retirements
-from kingcupscale import surroundings
-from kingcupscale.batches import book as books
-from kingcupscale.batches import keeper
+from kingcupscale.batches import cache as caches
+from kingcupscale.batches import maintenance
 from kingcupscale.batches import record as records
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import peers
-from kingcupscale.fleet import roster
+from kingcupscale.fleet import registry
 from kingcupscale.gateway import admission as admissions
-from kingcupscale.gateway import callers
+from kingcupscale.gateway import callerservice
 from kingcupscale.gateway import forwarder
 from kingcupscale.peering import commits
 from kingcupscale.peering import counts
-from kingcupscale.peering import handover
-from kingcupscale.peering import loads
-from kingcupscale.peering import pace
+from kingcupscale.peering import polling
 from kingcupscale.peering import relay
+from kingcupscale.peering import replication
+from kingcupscale.peering import weightloads
 from kingcupscale.storage import changelog
-from kingcupscale.storage import detour
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import fallback
+from kingcupscale.storage import locks
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
-from kingcupscale.storage import tenure as tenures
 from kingcupscale.storage import view as views
-from kingcupscale.usage import telling
+from kingcupscale.usage import countsender
 from kingcupscale.usage import windows
 from kingcupscale.web import limits
 from kingcupscale.web import message
 
-# Pause between two watches of a node that leads a service.
-LEADER_PAUSE_S = 0.1
-# A followed mirror costs little, so a node whose readers or samples wait for
-# news asks at once again.
-NEEDED_PAUSE_S = 0.02
-LEAD_PAUSE_S = 0.2
-# Share of the time within which holders must not take turns; a shorter lease
-# is sooner taken over.
+# Pause between two long polls of the store by a node that leads a service.
+LEADER_POLL_INTERVAL_S = 0.1
+# Long-polling another node is cheap, so a node with waiting readers or running
+# samples pauses only this long.
+ACTIVE_POLL_INTERVAL_S = 0.02
+ELECTION_INTERVAL_S = 0.2
+# Lease length as a share of ``lease_s``, the time within which a duty must not
+# have two holders. A shorter lease is taken over sooner.
 LEASE_SHARE = 0.7
-# A node that holds nothing may stay entered for this many leases after its
-# end: whoever asks it notices sooner.
-PRESENCE_LEASES = 4
-SWEEP_PAUSE_S = 0.25
-WANT_PAUSE_S = 0.1
-USAGE_PAUSE_S = 0.5
-# From a stop's signal: readiness goes first, callers are sent away meanwhile,
-# then the listeners close; the rest of the grace is for open requests.
-NOTICE_S = 3.0
+# The entry of a node without duties may outlive the node by this many leases,
+# because other nodes notice sooner that it no longer answers.
+REGISTRATION_LEASES = 4
+SWEEP_INTERVAL_S = 0.25
+INTEREST_INTERVAL_S = 0.1
+USAGE_INTERVAL_S = 0.5
+# After the signal to stop, the node first reports itself as not ready and has
+# callers reconnect elsewhere. After this time the listeners close, and the rest
+# of the grace period is left to open requests.
+DRAIN_NOTICE_S = 3.0
 
 
 class Runtime:
-    """One node.
+    """One node: owns its components and background tasks.
 
     Args:
-        settings: What it is told.
-        around: What it reaches the world by.
+        settings: The node's settings.
+        deps: Clients and utilities that the node uses.
 
     Attributes:
-        candidates: Which node is preferred for a duty.
-        directives: What operators and trainers have written.
-        readiness: Whether the node may take work.
-        callers: Answers callers.
+        candidates: Ranks the nodes for each duty.
+        cluster_state: Configuration, servers and target weight versions.
+        readiness: Decides whether the node may accept requests.
+        callers: Handles callers' requests.
+        services: This node's duty for each service, by the service's name.
+        models: This node's duty for each model, by the duty's name.
         is_draining: Whether a planned stop has begun.
-        stopped: Set when the listeners are to close.
+        drain_requested: Set to begin a planned stop.
+        stopped: Set when the listeners should close.
     """
 
     def __init__(
         self,
         settings: deployment.SiteSettings,
-        around: surroundings.Surroundings,
+        deps: dependencies.Dependencies,
     ) -> None:
         self.settings = settings
-        self.surroundings = around
-        self.clock = around.clock
-        self.measures = metrics.Metrics()
+        self.dependencies = deps
+        self.clock = deps.clock
+        self.metrics = metrics.Metrics()
         self.is_draining = False
-        self.drain_asked = trio.Event()
+        self.drain_requested = trio.Event()
         self.stopped = trio.Event()
         self.services: dict[str, leading.ServiceDuty] = {}
         self.models: dict[str, leading.ModelDuty] = {}
@@ -94,134 +98,142 @@
         self._make_serving()
 
     def _make_storage(self) -> None:
-        settings, around = self.settings, self.surroundings
-        self.feed = feeds.Feed(
-            around.store,
+        settings, deps = self.settings, self.dependencies
+        self.mirror = mirrors.StoreMirror(
+            deps.store,
             self.clock,
             settings.node,
-            self._feed_pause_s,
-            self._follow,
+            self._poll_interval_s,
+            self._fetch_changes,
         )
         self.peers = peers.Peers(
             settings.node,
-            around.relay,
-            around.commits,
+            deps.relay,
+            deps.commits,
             self.clock,
-            around.rng,
+            deps.rng,
             lambda: self.services,
         )
-        self.peers.feed = self.feed
+        self.peers.mirror = self.mirror
         self.view = views.View(
-            self.feed,
+            self.mirror,
             self.clock,
             settings.node,
             settings.bounds.cancel_s,
-            self.peers.heard_at,
+            self.peers.peer_answered_at,
         )
-        self.roster = roster.Roster(
+        self.server_registry = registry.ServerRegistry(
             self.clock,
-            lambda: self.feed.regained_at,
-            lambda: self.feed.is_lost,
+            lambda: self.mirror.recovered_at,
+            lambda: self.mirror.is_unreachable,
         )
-        self.book = books.Book(
-            self.feed,
-            detour.DetourStore(around.store, self.peers.commit),
+        self.batch_cache = caches.BatchCache(
+            self.mirror,
+            fallback.FallbackStore(deps.store, self.peers.commit),
             self.clock,
             settings.value_bytes,
-            self._fetch_copy,
+            self._fetch_snapshot,
         )
-        self.book.on_change = self._wake_coordinators
-        self.relay = relay.RelayHandler(self.feed, self.book)
+        self.batch_cache.on_change = self._wake_coordinators
+        self.relay = relay.RelayHandler(self.mirror, self.batch_cache)
         ttl_s = max(
             settings.least_lease_s, LEASE_SHARE * settings.bounds.lease_s
         )
-        self.session = tenures.Session(
-            around.store, self.clock, settings.node, ttl_s
+        self.session = locks.LeaseSession(
+            deps.store, self.clock, settings.node, ttl_s
         )
-        self.presence = tenures.Presence(
-            around.store,
+        self.registration = locks.NodeRegistration(
+            deps.store,
             self.clock,
             settings.node,
-            PRESENCE_LEASES * ttl_s,
+            REGISTRATION_LEASES * ttl_s,
             orjson.dumps({"peers": settings.peers}),
         )
-        self.candidates = candidates.Candidates(self.feed, settings.node)
-        self.feed.subscribe(tenures.NODES_PREFIX, self._take_node)
-        self.directives = directives.Directives(
-            self.feed, self.roster, around.keys, around.decoders
+        self.candidates = candidates.Candidates(self.mirror, settings.node)
+        self.mirror.subscribe(locks.NODES_PREFIX, self._on_node_changed)
+        self.cluster_state = clusterstate.ClusterState(
+            self.mirror, self.server_registry, deps.keys, deps.decoders
         )
         self.readiness = readiness.Readiness(
-            self.feed,
+            self.mirror,
             self.peers,
             self.clock,
             settings.bounds,
-            self.catalogue_now,
+            self.current_catalogue,
         )
 
     def _make_serving(self) -> None:
-        settings, around = self.settings, self.surroundings
+        settings, deps = self.settings, self.dependencies
         self.reporter = windows.WindowReporter(
-            tenures.Tenure(windows.DUTY, self.session, self.feed, self.clock),
-            self.feed,
-            around.intake,
+            locks.DutyLock(windows.DUTY, self.session, self.mirror, self.clock),
+            self.mirror,
+            deps.intake,
             self.clock,
             settings.bounds.window_s,
             settings.bounds.late_s,
         )
-        self.telling = telling.Telling(self.peers, self.reporter, around.counts)
+        self.count_sender = countsender.PeerCountSender(
+            self.peers, self.reporter, deps.counts
+        )
         self.usage = windows.WindowCounter(
-            self.feed,
+            self.mirror,
             self.clock,
             settings.node,
             settings.bounds.window_s,
-            self.telling,
+            self.count_sender,
         )
         admission = admissions.Admission(
-            self.catalogue_now, self.readiness.find_doubt
+            self.current_catalogue, self.readiness.staleness_error
         )
         self.forwarder = forwarder.Forwarder(
             admission,
-            self.roster,
-            around.servers,
+            self.server_registry,
+            deps.servers,
             self.usage,
-            self.measures,
+            self.metrics,
             self.clock,
-            around.rng,
+            deps.rng,
             settings.zone,
         )
-        self.callers = callers.Callers(
+        self.callers = callerservice.CallerService(
             admission,
             self.forwarder,
-            self.book,
+            self.batch_cache,
             self.clock,
-            self.readiness.find_refusal,
+            self.readiness.admission_error,
         )
         self.retirements = retirements.Retirements(
-            self.feed, around.keys, around.decoders.retirement_state
+            self.mirror, deps.keys, deps.decoders.retirement_state
         )
 
-    async def answer_peer(self, request: message.Request) -> message.Response:
-        """Answers another node."""
+    async def handle_peer_request(
+        self, request: message.Request
+    ) -> message.Response:
+        """Returns the response to a request of another node."""
         if request.path == commits.PATH:
-            return await commits.answer(self.surroundings.store, request)
-        if request.path == handover.PATH:
-            return self._take_copy(handover.decode(request.body))
+            return await commits.handle(self.dependencies.store, request)
+        if request.path == replication.PATH:
+            return self._apply_copy(replication.decode(request.body))
         if request.path == counts.PATH:
-            return self.telling.answer(request)
-        if request.path == loads.PATH:
-            self.take_load(loads.decode(request.body))
+            return self.count_sender.handle(request)
+        if request.path == weightloads.PATH:
+            self.apply_load_state(weightloads.decode(request.body))
             return message.Response(200)
         return await self.relay(request)
 
-    def _take_copy(self, copy: handover.Copy) -> message.Response:
-        """Takes over texts, and the samples of a node that stops."""
+    def _apply_copy(
+        self, copy: replication.ReplicationRequest
+    ) -> message.Response:
+        """Stores copied texts; the last copy also hands the samples over."""
         duty = self.services.get(copy.service)
-        fits = duty is None or duty.coordinator.take_copy(copy)
-        model = self.models.get(leading.model_duty(copy.service, copy.model))
+        is_in_sync = duty is None or duty.coordinator.apply_copy(copy)
+        model = self.models.get(
+            leading.model_duty_name(copy.service, copy.model)
+        )
         if model is not None:
-            model.note_heard(copy.sender)
-        if not fits:
-            return message.Response(handover.STATUS_MISFIT)
+            model.record_copy(copy.sender)
+        if not is_in_sync:
+            return message.Response(replication.STATUS_OUT_OF_SYNC)
         if not copy.is_last:
             return message.Response(200)
         if model is None or self.is_draining:
@@ -229,14 +241,14 @@
         model.take_over(copy.sender)
         return message.Response(200)
 
-    def take_load(self, state: loads.LoadState) -> None:
-        """Takes over how a load on an engine stands."""
-        server = self.roster.servers.get(state.server)
+    def apply_load_state(self, state: weightloads.WeightLoadState) -> None:
+        """Applies the state of an engine's weight load."""
+        server = self.server_registry.servers.get(state.server)
         if server is None:
             return
         now = self.clock.monotonic()
         server.versions[state.model] = state.version
-        server.closed[state.model] = now + state.closed_s
+        server.no_samples_until[state.model] = now + state.closed_s
         server.loading_until = now + state.loading_s
         self._wake_coordinators()
 
@@ -244,13 +256,13 @@
         for duty in self.services.values():
             duty.coordinator.wake()
 
-    def catalogue_now(self) -> catalogue.Catalogue | None:
+    def current_catalogue(self) -> catalogue.Catalogue | None:
         """Returns the configuration in force; None before the first."""
-        return self.directives.catalogue
+        return self.cluster_state.catalogue
 
-    def limits_now(self) -> limits.Limits:
-        """Returns what callers may send by the configuration in force."""
-        configured = self.catalogue_now()
+    def current_limits(self) -> limits.Limits:
+        """Returns the limits on callers' requests from the configuration."""
+        configured = self.current_catalogue()
         allowed = configured.limits if configured else catalogue.Limits()
         return limits.Limits(
             body_bytes=allowed.body_bytes,
@@ -260,142 +272,151 @@
             idle_s=allowed.idle_s,
         )
 
-    def open_items(self, service: str) -> int:
-        """Returns how many items of a service's open batches are unlisted."""
-        configured = self.catalogue_now()
+    def count_open_items(self, service: str) -> int:
+        """Returns how many items of a service's open batches lack a result."""
+        configured = self.current_catalogue()
         if configured is None:
             return 0
         routes = {route.name for route in configured.routes_to(service)}
         return sum(
             len(record.batch.items) - len(record.results)
-            for record in self.book.records.values()
+            for record in self.batch_cache.records.values()
             if record.is_open() and record.batch.route in routes
         )
 
-    def duties_held(self) -> int:
-        """Returns how many duties this node holds."""
+    def count_held_duties(self) -> int:
+        """Returns the number of duties that this node holds."""
         duties = [*self.services.values(), *self.models.values()]
-        return sum(duty.tenure.is_held() for duty in duties)
+        return sum(duty.lock.is_held() for duty in duties)
 
-    def leads(self) -> bool:
-        """Tells whether this node holds a service's duty."""
-        return any(d.tenure.is_held() for d in self.services.values())
+    def is_leader(self) -> bool:
+        """Returns whether this node leads any service."""
+        return any(d.lock.is_held() for d in self.services.values())
 
-    async def _follow(
+    async def _fetch_changes(
         self, position: changelog.Position
     ) -> changelog.Changes | None:
-        """Follows a leader, or any node while the store does not answer."""
-        if self.leads() and not self.feed.is_lost:
+        """Returns the store's changes from another node, or None.
+
+        They come from a leader, or from any node while the store does not
+        answer. A leader reads the store itself while that answers.
+        """
+        if self.is_leader() and not self.mirror.is_unreachable:
             return None
-        return await self.peers.follow(
-            position, self.book.interest, any_node=self.feed.is_lost
+        return await self.peers.fetch_changes(
+            position,
+            self.batch_cache.interest,
+            any_node=self.mirror.is_unreachable,
         )
 
-    async def _fetch_copy(self, batch_id: str) -> records.RecordCopy | None:
-        """Returns a batch from a node that is likely to know it."""
+    async def _fetch_snapshot(
+        self, batch_id: str
+    ) -> records.RecordSnapshot | None:
+        """Returns a snapshot of a batch from a node that may hold it."""
         nodes = self.peers.leaders()
-        model = self.book.model_of(batch_id)
+        model = self.batch_cache.model_of(batch_id)
         for service in self.services if model else []:
-            duty = leading.model_duty(service, model or "")
+            duty = leading.model_duty_name(service, model or "")
             nodes.append(self.peers.holder(duty))
         others = [n for n in dict.fromkeys(nodes) if n != self.settings.node]
-        return await self.peers.copy_of(batch_id, others)
+        return await self.peers.fetch_copy(batch_id, others)
 
-    async def _keep_batches(self) -> None:
-        """Has the batches known that this node's duties need."""
+    async def _update_interest(self) -> None:
+        """Keeps the set of batches up to date that this node's duties need."""
         while True:
-            everything = self.leads() or leading.is_small_fleet(self)
+            everything = self.is_leader() or leading.is_small_fleet(self)
             models = {
                 duty.model
                 for duty in self.models.values()
-                if duty.wants_batches()
+                if duty.needs_batches()
             }
-            self.book.want(everything, frozenset(models))
-            await self.clock.rest(WANT_PAUSE_S)
-
-    def _feed_pause_s(self) -> float:
-        if self.leads():
-            return LEADER_PAUSE_S
-        is_needed = self.book.readers or any(
-            duty.coordinator.active for duty in self.services.values()
+            self.batch_cache.set_interest(everything, frozenset(models))
+            await self.clock.rest(INTEREST_INTERVAL_S)
+
+    def _poll_interval_s(self) -> float:
+        if self.is_leader():
+            return LEADER_POLL_INTERVAL_S
+        is_needed = self.batch_cache.waiting_readers or any(
+            duty.coordinator.active_models for duty in self.services.values()
         )
-        if self.feed.is_following and is_needed:
-            return NEEDED_PAUSE_S
-        return pace.idle_pause_s(
+        if self.mirror.is_following and is_needed:
+            return ACTIVE_POLL_INTERVAL_S
+        return polling.idle_poll_interval_s(
             len(self.candidates.names()), self.settings.bounds.apply_s
         )
 
     def is_ready(self) -> bool:
-        """Tells whether callers should be sent here."""
-        is_refusing = self.readiness.find_refusal() is not None
+        """Returns whether load balancers should send callers here."""
+        is_refusing = self.readiness.admission_error() is not None
         return not self.is_draining and not is_refusing
 
-    def _take_node(self, entry: stores.Entry) -> None:
-        """Has this node's own entry written again once it is gone."""
-        is_own = entry.key == tenures.NODES_PREFIX + self.settings.node
+    def _on_node_changed(self, entry: stores.Entry) -> None:
+        """Has this node's own entry written again if it was removed."""
+        is_own = entry.key == locks.NODES_PREFIX + self.settings.node
         if is_own and entry.value is None:
-            self.presence.note_removed()
+            self.registration.note_removed()
 
     async def run(self) -> None:
-        """Runs until a planned stop has ended."""
+        """Runs the node until a planned stop is complete."""
         async with trio.open_nursery() as nursery:
             for task in (
-                self.feed.run,
-                keeper.Keeper(self.book, self.clock).run,
-                self._keep_batches,
+                self.mirror.run,
+                maintenance.CacheMaintainer(self.batch_cache, self.clock).run,
+                self._update_interest,
                 self.session.run,
-                self.presence.run,
-                self._sweep_forever,
-                self._lead_services,
+                self.registration.run,
+                self._remove_expired_servers,
+                self._start_duties,
                 self._share_usage,
                 self._report_usage,
             ):
                 nursery.start_soon(task)
-            await self.drain_asked.wait()
+            await self.drain_requested.wait()
             await self._drain()
             nursery.cancel_scope.cancel()
 
     async def _drain(self) -> None:
-        """Hands duties over, and leaves callers time to go elsewhere."""
+        """Hands duties over and gives callers time to reconnect elsewhere."""
         events.log(events.Event.NODE_DRAINING, node=self.settings.node)
         self.is_draining = True
         for duty in self.models.values():
             await duty.hand_over()
         await self.session.close()
-        await self.presence.close()
+        await self.registration.close()
         with trio.move_on_after(1.0):
             try:
-                await self.usage.share(is_last=True)
+                await self.usage.flush(is_last=True)
             except stores.StoreError as e:
                 events.log(events.Event.STORE_FAILED, reason=e.reason)
-        await self.clock.sleep(NOTICE_S)
+        await self.clock.sleep(DRAIN_NOTICE_S)
         self.stopped.set()
 
-    async def _sweep_forever(self) -> None:
+    async def _remove_expired_servers(self) -> None:
+        """Removes servers that have not registered again in time."""
         while True:
-            self.roster.sweep()
-            await self.clock.rest(SWEEP_PAUSE_S)
+            self.server_registry.remove_expired()
+            await self.clock.rest(SWEEP_INTERVAL_S)
 
-    async def _lead_services(self) -> None:
-        """Contends for each service that has model engines, and its models."""
+    async def _start_duties(self) -> None:
+        """Campaigns for the duties of services with engines, and of models."""
         async with trio.open_nursery() as nursery:
             while True:
-                configured = self.catalogue_now()
+                configured = self.current_catalogue()
                 for name, service in (
                     configured.services.items() if configured else ()
                 ):
                     if service.slots:
-                        self._contend_for(name, service.models, nursery)
-                await self.clock.rest(LEAD_PAUSE_S)
+                        self._start_service(name, service.models, nursery)
+                await self.clock.rest(ELECTION_INTERVAL_S)
 
-    def _contend_for(
+    def _start_service(
         self, service: str, models: Iterable[str], nursery: trio.Nursery
     ) -> None:
         if service not in self.services:
             self.services[service] = leading.ServiceDuty(self, service)
             nursery.start_soon(self.services[service].run)
         for model in models:
-            duty = leading.model_duty(service, model)
+            duty = leading.model_duty_name(service, model)
             if duty not in self.models:
                 self.models[duty] = leading.ModelDuty(
                     self, self.services[service], model
@@ -403,10 +424,11 @@
                 nursery.start_soon(self.models[duty].run)
 
     async def _share_usage(self) -> None:
+        """Sends this node's usage counts to the node that reports them."""
         while True:
-            await self.clock.rest(USAGE_PAUSE_S)
+            await self.clock.rest(USAGE_INTERVAL_S)
             try:
-                await self.usage.share()
+                await self.usage.flush()
             except stores.StoreError as e:
                 events.log(
                     events.Event.STORE_FAILED,
@@ -415,16 +437,17 @@
                 )
 
     async def _report_usage(self) -> None:
+        """Campaigns for the usage duty, and reports while holding it."""
         if not self.settings.reports_usage:
             return
-        await tenures.hold(
-            self.reporter.tenure,
-            self._look_after_store,
+        await locks.run_while_held(
+            self.reporter.duty_lock,
+            self._run_usage_duty,
             lambda: leading.rank(self, windows.DUTY),
-            USAGE_PAUSE_S,
+            USAGE_INTERVAL_S,
         )
 
-    async def _look_after_store(self) -> None:
-        """Reports usage and answers requests to empty VMs."""
+    async def _run_usage_duty(self) -> None:
+        """Reports usage and responds to requests to retire VMs."""
         await self.reporter.step()
         await self.retirements.answer()
--- a/src/kingcupscale/storage/view.py
+++ b/src/kingcupscale/storage/view.py
@@ -1,4 +1,8 @@
-"""Whether what a node knows of the store is new enough to act on."""
+"""Whether a node's view of the store is recent enough to act on.
+
+A view is what a node knows of the store through its mirror. A node with an old
+view may have missed a change that other nodes already act on.
+"""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -6,57 +10,59 @@
 from kingcupscale import clock as clocks
 from kingcupscale import events
 
-# Share of the bound at its end in which nothing is sent any more, for calls
-# that are under way.
+# Share of the time limit, at its end, in which the view already counts as old.
+# It covers calls that are in flight.
 SAFETY_SHARE = 0.25
 
 
-class Mirror(Protocol):
-    """What tells how old a node's knowledge of the store is.
+class MirrorAge(Protocol):
+    """The part of a mirror that shows its age.
 
     Attributes:
-        current_at: Monotonic time at which the last good answer was asked for;
-            negative before the first.
-        is_lost: Whether neither the store nor another node answers.
+        current_at: Monotonic time at which the mirror was last known to be
+            current; negative before the first successful read.
+        is_unreachable: Whether the store does not respond and there is no other
+            node to follow whose mirror is recent.
     """
 
     current_at: float
-    is_lost: bool
+    is_unreachable: bool
 
     def age_s(self) -> float:
-        """Returns seconds since the mirror was known to be current."""
+        """Returns the seconds since the mirror was known to be current."""
         ...
 
 
 class View:
-    """Tells whether a node would have heard of a change by now.
+    """Determines whether a node's view of the store is current.
 
     Args:
-        mirror: What the node knows of the store.
-        clock: Tells the time.
+        mirror: The node's mirror of the store.
+        clock: Source of time.
         node: The node's name, for the log.
-        bound_s: Seconds within which a change has to be acted on.
-        heard_at: Returns the monotonic time at which another node last
-            answered; None if no other node is known.
+        bound_s: Seconds within which a change must be in effect.
+        peer_answered_at: Returns the monotonic time at which another node last
+            responded; None if no other node is known.
 
     Attributes:
-        most_age_s: Age in seconds up to which the view is current.
+        max_age_s: Age in seconds up to which the view is current.
+        was_current: Result of the last check.
     """
 
     def __init__(
         self,
-        mirror: Mirror,
+        mirror: MirrorAge,
         clock: clocks.Clock,
         node: str,
         bound_s: float,
-        heard_at: Callable[[], float | None],
+        peer_answered_at: Callable[[], float | None],
     ) -> None:
         self.mirror = mirror
         self.clock = clock
         self.node = node
         self.bound_s = bound_s
-        self.most_age_s = bound_s * (1 - SAFETY_SHARE)
-        self.heard_at = heard_at
+        self.max_age_s = bound_s * (1 - SAFETY_SHARE)
+        self.peer_answered_at = peer_answered_at
         self.was_current = True
 
     def age_s(self) -> float:
@@ -64,32 +70,41 @@
         return self.mirror.age_s()
 
     def is_current(self) -> bool:
-        """Tells whether a change that others act on is known here.
+        """Returns whether this node has all changes that others may act on.
 
-        While the store is silent for everybody, there are no changes.
+        An old view also counts as current while no node reaches the store, as
+        nothing can change then.
         """
         is_current = (
-            self.mirror.age_s() <= self.most_age_s or self._is_store_silent()
+            self.mirror.age_s() <= self.max_age_s
+            or self._is_store_unreachable_for_all()
         )
         if is_current != self.was_current:
-            self._note(is_current)
+            self._log_transition(is_current)
         return is_current
 
-    def _is_store_silent(self) -> bool:
-        """Tells whether another node has just known nothing newer either."""
-        if not self.mirror.is_lost:
+    def _is_store_unreachable_for_all(self) -> bool:
+        """Returns whether the other nodes do not reach the store either.
+
+        True if another node responded recently, but long after this node's view
+        was current, and had nothing newer; or if there is no other node.
+        """
+        if not self.mirror.is_unreachable:
             return False
-        heard_at = self.heard_at()
-        if heard_at is None:
+        peer_answered_at = self.peer_answered_at()
+        if peer_answered_at is None:
             return True
-        was_old = heard_at - self.mirror.current_at > self.most_age_s
-        return was_old and self.clock.monotonic() - heard_at <= self.bound_s
+        was_old = peer_answered_at - self.mirror.current_at > self.max_age_s
+        return (
+            was_old
+            and self.clock.monotonic() - peer_answered_at <= self.bound_s
+        )
 
-    def _note(self, is_current: bool) -> None:
+    def _log_transition(self, is_current: bool) -> None:
         self.was_current = is_current
         events.log(
             events.Event.VIEW_CURRENT if is_current else events.Event.VIEW_OLD,
             node=self.node,
             age_s=round(self.mirror.age_s(), 3),
-            lost=self.mirror.is_lost,
+            lost=self.mirror.is_unreachable,
         )
--- a/src/kingcupscale/usage/reporting.py
+++ b/src/kingcupscale/usage/reporting.py
@@ -1,4 +1,9 @@
-"""The duty that reports usage windows, each with one set of figures."""
+"""The duty that reports the usage windows of one shard.
+
+Organisations are divided among shards. The holder of a shard's lease computes
+the figures of each window, writes them to a ledger in the key-value service and
+sends them to the usage intake. The figures of a window never change.
+"""
 
 import attrs
 
@@ -11,8 +16,8 @@
 from kingcupscale.providers import calls
 from kingcupscale.providers import keyvalue
 from kingcupscale.providers import usageintake
-from kingcupscale.usage import copying
 from kingcupscale.usage import counter
+from kingcupscale.usage import counterreplication
 
 PREFIX = "usage/"
 WINDOWS_KEPT = 8
@@ -20,13 +25,13 @@
 
 @attrs.frozen
 class Window:
-    """One window.
+    """One usage window.
 
     Attributes:
-        window: Number of the window; its end is (number + 1) times its length
-            since 1970, in UTC.
-        figures: What is reported, never changed.
-        sent: Whether the intake has taken the report.
+        window: Number of the window; it ends (number + 1) times its length
+            after 1970-01-01T00:00Z.
+        figures: The reported figures, which never change.
+        sent: Whether the intake has accepted the report.
     """
 
     window: int
@@ -36,12 +41,12 @@
 
 @attrs.frozen
 class Ledger:
-    """What the store holds of one shard.
+    """The stored ledger of one shard.
 
     Attributes:
         windows: The latest windows, in order.
-        reported: Totals that all windows so far have reported.
-        token: Unique to the write.
+        reported: The totals covered by all windows so far.
+        token: A value unique to this write.
     """
 
     windows: list[Window]
@@ -50,21 +55,22 @@
 
 
 class UsageDuty:
-    """Reports the windows of one shard.
+    """Reports the usage windows of one shard.
 
-    The figures of a window enter the ledger before they are sent, so whoever
-    sends the window sends the same. Every write is conditional on the ledger
-    it was worked out from, so a former holder that wakes up late cannot add a
-    window. Counts that come to light later go into the next window.
+    The figures of a window are written to the ledger before they are sent, so
+    every holder that sends the window sends the same figures. Every write is
+    conditional on the ledger version that it was computed from, so a former
+    holder that was paused cannot add a window. Counts that arrive after the
+    figures of their window were written go into the next window.
 
     Args:
         shard: Number of the shard.
-        shards: How many there are.
+        shards: The number of shards.
         lease: The shard's lease.
         store: The key-value service.
-        intake: Takes the reports.
-        copier: Brings the counters together.
-        clock: Tells the time.
+        intake: The service that accepts usage reports.
+        replicator: Fetches the counters of all members.
+        clock: The clock.
         window_s: Length of a window in seconds.
     """
 
@@ -75,7 +81,7 @@
         lease: leases.Lease,
         store: keyvalue.KeyValueStore,
         intake: usageintake.UsageIntake,
-        copier: copying.Copier,
+        replicator: counterreplication.CounterReplicator,
         clock: clocks.Clock,
         window_s: float,
     ) -> None:
@@ -84,7 +90,7 @@
         self.lease = lease
         self.store = store
         self.intake = intake
-        self.copier = copier
+        self.replicator = replicator
         self.clock = clock
         self.window_s = window_s
         self.ledger = Ledger([], [], "")
@@ -92,30 +98,30 @@
 
     @property
     def key(self) -> str:
-        """Where the ledger of this shard is stored."""
+        """The key of this shard's ledger in the store."""
         return f"{PREFIX}{self.shard}"
 
     async def take_over(self) -> None:
-        """Reads the ledger that former holders wrote."""
+        """Reads the ledger written by former holders."""
         entry = await self.store.get(self.key)
         if entry is not None:
             self.ledger = codec.decode(Ledger, entry.value)
             self.version = entry.version
 
-    async def work(self) -> None:
-        """Adds the window that has ended, and sends what is not sent."""
+    async def run_once(self) -> None:
+        """Adds the window that ended last, and sends all unsent windows."""
         ended = int(self.clock.now().timestamp() // self.window_s) - 1
         windows = self.ledger.windows
         newest = windows[-1].window if windows else 0
         if ended > newest:
-            await self.copier.pull_all()
+            await self.replicator.fetch_all()
             await self._write(self._add_window(ended))
         for window in self.ledger.windows:
             if not window.sent:
                 await self._send(window)
 
     def unsent(self) -> list[int]:
-        """Returns the numbers of windows not yet taken by the intake."""
+        """Returns the numbers of windows that the intake has not accepted."""
         return [w.window for w in self.ledger.windows if not w.sent]
 
     async def _write(self, ledger: Ledger) -> None:
@@ -124,27 +130,29 @@
             self.store, self.key, text, self.version
         )
         if not answer.written:
-            raise journal.JournalError("another holder has written the ledger")
+            raise journal.JournalError(
+                "usage ledger was written by another holder"
+            )
         self.ledger = ledger
         self.version = answer.version
 
     def _add_window(self, window: int) -> Ledger:
-        reported = _cells(self.ledger.reported)
-        counted = self._own_cells()
-        figures = _sum_up(reported, counted)
+        reported = _totals_by_key(self.ledger.reported)
+        counted = self._own_totals()
+        figures = _sum_unreported(reported, counted)
         merged = dict(reported)
-        for cell, totals in counted.items():
-            merged[cell] = counter.larger(merged.get(cell), totals)
+        for key, totals in counted.items():
+            merged[key] = counter.merge_totals(merged.get(key), totals)
         rows = [counter.Row(*c, list(t)) for c, t in sorted(merged.items())]
-        windows = [*_without_old(self.ledger.windows)]
+        windows = [*_drop_old(self.ledger.windows)]
         windows.append(Window(window, figures, False))
         return Ledger(windows, rows, keyvalue.new_token())
 
-    def _own_cells(self) -> dict[counter.Cell, counter.Totals]:
+    def _own_totals(self) -> dict[counter.CounterKey, counter.Totals]:
         return {
-            cell: totals
-            for cell, totals in self.copier.counters.cells.items()
-            if hashing.number(cell[1]) % self.shards == self.shard
+            key: totals
+            for key, totals in self.replicator.counters.totals_by_key.items()
+            if hashing.number(key[1]) % self.shards == self.shard
         }
 
     async def _send(self, window: Window) -> None:
@@ -182,18 +190,20 @@
         )
 
 
-def _cells(rows: list[counter.Row]) -> dict[counter.Cell, counter.Totals]:
-    return {row.cell: row.as_totals() for row in rows}
+def _totals_by_key(
+    rows: list[counter.Row],
+) -> dict[counter.CounterKey, counter.Totals]:
+    return {row.key: row.to_tuple() for row in rows}
 
 
-def _sum_up(
-    reported: dict[counter.Cell, counter.Totals],
-    counted: dict[counter.Cell, counter.Totals],
+def _sum_unreported(
+    reported: dict[counter.CounterKey, counter.Totals],
+    counted: dict[counter.CounterKey, counter.Totals],
 ) -> list[usageintake.Figure]:
-    sums: dict[counter.Name, list[int]] = {}
-    for cell, totals in counted.items():
-        before = reported.get(cell, counter.NOTHING)
-        figure = sums.setdefault((cell[1], cell[2]), [0, 0, 0])
+    sums: dict[counter.FigureKey, list[int]] = {}
+    for key, totals in counted.items():
+        before = reported.get(key, counter.ZERO_TOTALS)
+        figure = sums.setdefault((key[1], key[2]), [0, 0, 0])
         for index in range(len(figure)):
             figure[index] += max(0, totals[index] - before[index])
     return [
@@ -203,7 +213,7 @@
     ]
 
 
-def _without_old(windows: list[Window]) -> list[Window]:
+def _drop_old(windows: list[Window]) -> list[Window]:
     unsent = [w for w in windows if not w.sent]
     sent = [w for w in windows if w.sent]
     kept = [*sent[-WINDOWS_KEPT:], *unsent]
--- a/src/kingcupscale/usage/windows.py
+++ b/src/kingcupscale/usage/windows.py
@@ -1,4 +1,9 @@
-"""Usage by window of the wall clock, from counts of all nodes to one report."""
+"""Counts usage by window of the wall clock, and reports each window once.
+
+Each node counts the requests of its organisations (``WindowCounter``) and sends
+the counts to the node that holds the usage duty. That node adds up the counts
+of all nodes and reports the sums (``WindowReporter``).
+"""
 
 from typing import Protocol
 
@@ -7,36 +12,36 @@
 
 from kingcupscale import clock as clocks
 from kingcupscale import events
-from kingcupscale.storage import entries
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import decoding
+from kingcupscale.storage import locks
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
-from kingcupscale.storage import tenure as tenures
 
 COUNTS_PREFIX = "kingcupscale/usage/counts/"
 FIGURES_PREFIX = "kingcupscale/usage/figures/"
 DUTY = "usage"
 
-# After a window's end, requests that began in it may still be answered, and
-# clocks differ a little.
+# Counts of a window are sent this long after its end: requests that started in
+# it may still be in progress, and the clocks of nodes differ slightly.
 COUNT_DELAY_S = 1.0
-# Share of the time until a report is late after which it is put together,
-# whoever's counts are missing.
-COLLECT_SHARE = 0.4
-# A node that begins to report waits so long for what the others told the one
-# before it.
-RESEND_S = 2.0
-# Stands for the store where it is noted who was told.
+# A window is summed up once this fraction of the time until its report is late
+# has passed, even if the counts of some nodes are missing.
+COLLECT_FRACTION = 0.4
+# A node that acquires the usage duty waits this long before it reports, so that
+# other nodes can resend the counts that they sent to the previous holder.
+RESEND_WAIT_S = 2.0
+# Marks counts in ``WindowCounter.flushed_to`` that were written to the store.
 IN_STORE = "store"
-# Windows that are kept in the store and looked after, the newest ones.
+# Number of most recent windows that are kept and still reported.
 WINDOWS_KEPT = 12
 
 
 class ReportError(Exception):
-    """A report that the intake did not take, or may not have.
+    """A report that the intake rejected, or may not have received.
 
     Args:
-        reason: What went wrong.
-        is_fenced: Whether a newer holder has reported.
+        reason: The cause.
+        is_fenced: Whether the intake has a report by a newer holder.
     """
 
     def __init__(self, reason: str, is_fenced: bool) -> None:
@@ -46,171 +51,191 @@
 
 
 class Intake(Protocol):
-    """Takes usage reports."""
+    """Accepts usage reports."""
 
     async def report(
-        self, window: int, counts: dict[str, int], holder: tenures.Holder
+        self, window: int, counts: dict[str, int], holder: locks.Holder
     ) -> None:
-        """Sends one window's figures.
+        """Sends the figures of one window.
 
         Raises:
-            ReportError: If it is not known to have taken them.
+            ReportError: If the intake did not confirm them.
         """
         ...
 
 
-class Teller(Protocol):
-    """Tells the node that reports usage what this one has counted."""
+class CountSender(Protocol):
+    """Sends this node's counts to the node that reports usage."""
 
     def holder(self) -> str:
-        """Returns who reports, told apart by lease; empty for nobody."""
+        """Returns the reporting node and its lease; empty if there is none."""
         ...
 
-    async def tell(self, counted: dict[int, dict[str, int]]) -> bool:
-        """Tells whole counts by window; whether they were taken."""
+    async def send(self, counted: dict[int, dict[str, int]]) -> bool:
+        """Sends the total counts of windows to the reporting node.
+
+        Returns:
+            Whether the reporting node accepted them.
+        """
         ...
 
 
 class WindowCounter:
-    """What one node's organisations began, by window.
+    """Counts the requests that organisations start on one node, by window.
 
-    Counts go to the node that reports them, and again to the next one if that
-    changes; without one, and at a stop, they go into the store.
+    Counts are sent to the node that holds the usage duty, and sent again when
+    the holder changes. If no node holds the duty or the holder does not accept
+    them, and when this node stops, they are written to the store.
 
     Args:
-        feed: Where the counts are shared.
-        clock: Tells the time.
+        mirror: The mirror of the store to which counts are written.
+        clock: The clock.
         node: The node's name.
         window_s: Length of a window in seconds.
-        teller: Tells the node that reports.
+        count_sender: Sends counts to the node that reports usage.
 
     Attributes:
         counts: Requests by organisation, by window.
-        shared: What has been shared, by window.
-        shared_with: Whom it was told, by window; ``IN_STORE`` for the store.
+        flushed: The counts that were sent or written last, by window.
+        flushed_to: The holder to which they were sent, by window; ``IN_STORE``
+            if they were written to the store.
     """
 
     def __init__(
         self,
-        feed: feeds.Feed,
+        mirror: mirrors.StoreMirror,
         clock: clocks.Clock,
         node: str,
         window_s: float,
-        teller: Teller,
+        count_sender: CountSender,
     ) -> None:
-        self.feed = feed
+        self.mirror = mirror
         self.clock = clock
         self.node = node
         self.window_s = window_s
-        self.teller = teller
+        self.count_sender = count_sender
         self.counts: dict[int, dict[str, int]] = {}
-        self.shared: dict[int, dict[str, int]] = {}
-        self.shared_with: dict[int, str] = {}
+        self.flushed: dict[int, dict[str, int]] = {}
+        self.flushed_to: dict[int, str] = {}
 
     def window_at(self, seconds: float) -> int:
-        """Returns the window of a time in seconds since 1970."""
+        """Returns the window of a Unix time in seconds."""
         return int(seconds // self.window_s)
 
-    def note_begun(self, organisation: str) -> None:
-        """Counts a request that begins now."""
+    def count_started(self, organisation: str) -> None:
+        """Counts a request that starts now."""
         window = self.window_at(self.clock.now().timestamp())
         counts = self.counts.setdefault(window, {})
         counts[organisation] = counts.get(organisation, 0) + 1
 
-    async def share(self, is_last: bool = False) -> None:
-        """Shares the counts of ended windows, or of all at the last.
+    async def flush(self, is_last: bool = False) -> None:
+        """Sends or writes the counts of ended windows that have changed.
+
+        The total count of a window is sent each time, so repeating it is safe,
+        even while another write is in progress.
 
-        What is shared is always a window's whole count, so that it does no
-        harm to share it again, also while another write is under way.
+        Args:
+            is_last: Write the counts of all windows to the store, as the node
+                stops.
 
         Raises:
-            StoreError: If the store cannot be reached; they are kept.
+            StoreError: If the store cannot be reached; the counts are kept.
         """
         now_s = self.clock.now().timestamp()
         ended = self.window_at(now_s - COUNT_DELAY_S)
-        holder = "" if is_last else self.teller.holder()
+        holder = "" if is_last else self.count_sender.holder()
         due = {
             window: dict(self.counts[window])
             for window in sorted(self.counts)
             if (is_last or window < ended)
-            and not self._is_shared(window, holder)
+            and not self._is_flushed(window, holder)
         }
-        if due and not (holder and await self._tell(due, holder)):
+        if due and not (holder and await self._send(due, holder)):
             await self._write(due)
         for window in [w for w in self.counts if w < ended - WINDOWS_KEPT]:
             del self.counts[window]
-            self.shared.pop(window, None)
-            self.shared_with.pop(window, None)
+            self.flushed.pop(window, None)
+            self.flushed_to.pop(window, None)
 
-    def _is_shared(self, window: int, holder: str) -> bool:
-        is_whole = self.shared.get(window) == self.counts[window]
-        return is_whole and self.shared_with[window] in (IN_STORE, holder)
+    def _is_flushed(self, window: int, holder: str) -> bool:
+        is_unchanged = self.flushed.get(window) == self.counts[window]
+        return is_unchanged and self.flushed_to[window] in (IN_STORE, holder)
 
-    async def _tell(self, due: dict[int, dict[str, int]], holder: str) -> bool:
-        if not await self.teller.tell(due):
+    async def _send(self, due: dict[int, dict[str, int]], holder: str) -> bool:
+        if not await self.count_sender.send(due):
             return False
         for window, counts in due.items():
-            self.shared[window] = counts
-            self.shared_with[window] = holder
+            self.flushed[window] = counts
+            self.flushed_to[window] = holder
         return True
 
     async def _write(self, due: dict[int, dict[str, int]]) -> None:
         for window, counts in due.items():
             key = f"{COUNTS_PREFIX}{window}/{self.node}"
             put = stores.Put(key, orjson.dumps(counts))
-            await self.feed.store.commit(stores.Transaction(puts=[put]))
-            self.shared[window] = counts
-            self.shared_with[window] = IN_STORE
+            await self.mirror.store.commit(stores.Transaction(puts=[put]))
+            self.flushed[window] = counts
+            self.flushed_to[window] = IN_STORE
 
 
 class WindowReporter:
     """Reports each window once, with figures that never change.
 
-    The figures are written under the condition that the window has none yet,
-    before they are sent; whoever sends it later sends the same.
+    The figures of a window are written to the store before they are sent, on
+    the condition that the window has none yet. A holder that sends the window
+    again therefore sends the same figures.
 
     Args:
-        tenure: The duty.
-        feed: Where counts and figures are shared.
-        intake: Takes the reports.
-        clock: Tells the time.
+        duty_lock: The lock on the usage duty.
+        mirror: The mirror of the store that holds counts and figures.
+        intake: The service that accepts usage reports.
+        clock: The clock.
         window_s: Length of a window in seconds.
-        late_s: Seconds after its end when a report is late.
+        late_s: Seconds after the end of a window when its report is late.
+
+    Attributes:
+        reported: Windows that need no further report: the intake has accepted
+            a report, from this node or from a newer holder.
+        first_window: The oldest window to report; ``None`` until it is known.
+        received: The counts that nodes sent, by window and node.
+        fencing_token: Fencing token under which ``acquired_at`` was set.
+        acquired_at: Monotonic time when this node noticed that it had acquired
+            the duty.
     """
 
     def __init__(
         self,
-        tenure: tenures.Tenure,
-        feed: feeds.Feed,
+        duty_lock: locks.DutyLock,
+        mirror: mirrors.StoreMirror,
         intake: Intake,
         clock: clocks.Clock,
         window_s: float,
         late_s: float,
     ) -> None:
-        self.tenure = tenure
-        self.feed = feed
+        self.duty_lock = duty_lock
+        self.mirror = mirror
         self.intake = intake
         self.clock = clock
         self.window_s = window_s
         self.late_s = late_s
-        self.taken: set[int] = set()
-        self.first: int | None = None
+        self.reported: set[int] = set()
+        self.first_window: int | None = None
         self.received: dict[int, dict[str, dict[str, int]]] = {}
-        self.fence = 0
-        self.gained_at = 0.0
+        self.fencing_token = 0
+        self.acquired_at = 0.0
 
-    def take(self, node: str, counted: dict[int, dict[str, int]]) -> None:
-        """Takes over a node's whole counts by window."""
+    def receive(self, node: str, counted: dict[int, dict[str, int]]) -> None:
+        """Stores the total counts of a node, by window."""
         for window, counts in counted.items():
             self.received.setdefault(window, {})[node] = counts
 
-    def _has_heard_all(self) -> bool:
-        """Tells whether the others had the time to tell this node."""
+    def _has_waited_for_counts(self) -> bool:
+        """Returns whether other nodes have had time to resend their counts."""
         now = self.clock.monotonic()
-        if self.fence != self.tenure.fence:
-            self.fence = self.tenure.fence
-            self.gained_at = now
-        return now - self.gained_at >= RESEND_S
+        if self.fencing_token != self.duty_lock.fencing_token:
+            self.fencing_token = self.duty_lock.fencing_token
+            self.acquired_at = now
+        return now - self.acquired_at >= RESEND_WAIT_S
 
     async def step(self) -> None:
         """Reports the windows that are due.
@@ -218,86 +243,92 @@
         Raises:
             StoreError: If the store cannot be reached.
         """
-        if not self._has_heard_all():
+        if not self._has_waited_for_counts():
             return
         now_s = self.clock.now().timestamp()
-        due = int((now_s - self.late_s * COLLECT_SHARE) // self.window_s) - 1
-        if self.first is None:
-            self.first = self._first_window(due)
-        for window in range(max(self.first, due - WINDOWS_KEPT), due + 1):
-            if window not in self.taken:
+        due = int((now_s - self.late_s * COLLECT_FRACTION) // self.window_s) - 1
+        if self.first_window is None:
+            self.first_window = self._first_window(due)
+        for window in range(
+            max(self.first_window, due - WINDOWS_KEPT), due + 1
+        ):
+            if window not in self.reported:
                 await self._report(window)
         oldest = due - 2 * WINDOWS_KEPT
-        self.taken = {w for w in self.taken if w > oldest}
+        self.reported = {w for w in self.reported if w > oldest}
         for window in [w for w in self.received if w <= oldest]:
             del self.received[window]
 
     def _first_window(self, due: int) -> int:
-        """Returns the oldest window of which anything is known."""
+        """Returns the oldest window that has counts or figures."""
         windows = [
             int(entry.key.removeprefix(prefix).partition("/")[0])
             for prefix in (COUNTS_PREFIX, FIGURES_PREFIX)
-            for entry in self.feed.under(prefix)
+            for entry in self.mirror.entries_under(prefix)
         ]
         return min([*windows, *self.received, due + 1])
 
     async def _report(self, window: int) -> None:
-        figures = await self._settle_figures(window)
-        if figures is None or not self.tenure.is_held():
+        figures = await self._commit_figures(window)
+        if figures is None or not self.duty_lock.is_held():
             return
         try:
-            await self.intake.report(window, figures, self.tenure.holder())
+            await self.intake.report(window, figures, self.duty_lock.holder())
         except ReportError as e:
             events.log(
                 events.Event.USAGE_FAILED,
                 window=window,
-                fence=self.tenure.fence,
+                fence=self.duty_lock.fencing_token,
                 reason=e.reason,
             )
             if e.is_fenced:
-                self.taken.add(window)
+                self.reported.add(window)
             return
-        self.taken.add(window)
+        self.reported.add(window)
         events.log(
             events.Event.USAGE_REPORTED,
             window=window,
-            fence=self.tenure.fence,
+            fence=self.duty_lock.fencing_token,
             organisations=len(figures),
             requests=sum(figures.values()),
         )
 
-    async def _settle_figures(self, window: int) -> dict[str, int] | None:
-        """Returns a window's figures, fixed in the store before they go."""
+    async def _commit_figures(self, window: int) -> dict[str, int] | None:
+        """Commits the figures of a window to the store, unless it has some.
+
+        Returns:
+            The committed figures, or ``None`` if they have been removed.
+        """
         key = f"{FIGURES_PREFIX}{window}"
-        entry = self.feed.entries.get(key)
+        entry = self.mirror.entries.get(key)
         if entry is None:
-            figures = self._add_up(window)
+            figures = self._sum_counts(window)
             put = stores.Put(
                 key, orjson.dumps(figures, option=orjson.OPT_SORT_KEYS)
             )
             condition = stores.Condition(key, stores.ABSENT)
             old = f"{FIGURES_PREFIX}{window - 3 * WINDOWS_KEPT}"
-            removals = [old] if old in self.feed.entries else []
-            revision = await self.feed.store.commit(
+            removals = [old] if old in self.mirror.entries else []
+            revision = await self.mirror.store.commit(
                 stores.Transaction([condition], [put], removals)
             )
             if revision is not None:
                 return figures
-            entry = await self.feed.store.get(key)
+            entry = await self.mirror.store.get(key)
         if entry is None or entry.value is None:
             return None
         return orjson.loads(entry.value)
 
-    def _add_up(self, window: int) -> dict[str, int]:
-        """Returns the sum over all nodes, told or written."""
+    def _sum_counts(self, window: int) -> dict[str, int]:
+        """Returns the sum of the counts of all nodes, sent or written."""
         prefix = f"{COUNTS_PREFIX}{window}/"
         by_node = dict(self.received.get(window, {}))
-        for entry in self.feed.under(prefix):
-            counts = entries.read(entry, _decode_counts) or {}
+        for entry in self.mirror.entries_under(prefix):
+            counts = decoding.decode_entry(entry, _decode_counts) or {}
             node = entry.key.removeprefix(prefix)
-            # Both are the node's whole count; the larger one is the later.
-            told = by_node.get(node, {})
-            by_node[node] = max(told, counts, key=lambda c: sum(c.values()))
+            # Both are total counts of the node, so the larger one is newer.
+            received = by_node.get(node, {})
+            by_node[node] = max(received, counts, key=lambda c: sum(c.values()))
         totals: dict[str, int] = {}
         for counts in by_node.values():
             for organisation, number in counts.items():
