--- /dev/null
+++ b/src/kingcupscale/web/httpclient.py
@@ -0,0 +1,289 @@
+"""The HTTP client: its interface, and an implementation with httpcore."""
+
+from collections.abc import AsyncIterator
+import contextlib
+import socket
+import struct
+from typing import Any
+from typing import Protocol
+
+import attrs
+import httpcore
+import trio
+
+from kingcupscale.web import message
+
+
+class RequestError(Exception):
+    """A request that got no complete response.
+
+    Args:
+        reason: What went wrong.
+        may_have_been_sent: Whether any byte of the request may have been sent.
+    """
+
+    def __init__(self, reason: str, may_have_been_sent: bool) -> None:
+        super().__init__(reason)
+        self.reason = reason
+        self.may_have_been_sent = may_have_been_sent
+
+
+class HttpClient(Protocol):
+    """Sends HTTP requests and returns their responses."""
+
+    def open(
+        self, address: str, request: message.Request, timeout_s: float
+    ) -> contextlib.AbstractAsyncContextManager[message.Response]:
+        """Sends a request; leaving the context early aborts the response.
+
+        Args:
+            address: ``host:port``.
+            request: The request.
+            timeout_s: Timeout of opening the connection and of each read.
+
+        Raises:
+            RequestError: If no response arrives, or it is cut off.
+        """
+        ...
+
+
+async def fetch(
+    http_client: HttpClient,
+    address: str,
+    request: message.Request,
+    timeout_s: float,
+    max_bytes: int | None = None,
+) -> message.Response:
+    """Sends a request and returns the response with its whole body.
+
+    Args:
+        http_client: The client that sends the request.
+        address: ``host:port``.
+        request: The request.
+        timeout_s: Timeout of the whole request.
+        max_bytes: Longest valid response body; None for no limit.
+
+    Raises:
+        RequestError: If no complete response arrives in time, or its body is
+            too long.
+    """
+    with trio.move_on_after(timeout_s):
+        async with http_client.open(address, request, timeout_s) as response:
+            if not await response.read_at_most(max_bytes):
+                raise RequestError(
+                    "response body too long", may_have_been_sent=True
+                )
+            return response
+    raise RequestError("no complete response in time", may_have_been_sent=True)
+
+
+_NOT_SENT_ERRORS = (
+    httpcore.ConnectError,
+    httpcore.ConnectTimeout,
+    httpcore.PoolTimeout,
+    httpcore.UnsupportedProtocol,
+    httpcore.LocalProtocolError,
+)
+_CONNECTION_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError)
+_HTTP_ERRORS = (
+    *_NOT_SENT_ERRORS,
+    *_CONNECTION_ERRORS,
+    httpcore.TimeoutException,
+)
+
+
+# A connection is closed if sent bytes stay unacknowledged for this long.
+UNACKNOWLEDGED_TIMEOUT_MS = 1500
+# TCP keep-alive: seconds until the first probe and between probes, and number
+# of unanswered probes after which the connection is closed.
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 2
+# SO_LINGER with timeout 0 closes every connection with a TCP reset. Otherwise,
+# bytes of an aborted request that a network partition delays would still reach
+# the peer when the partition ends.
+_RESET = struct.pack("ii", 1, 0)
+_SOCKET_OPTIONS = [
+    (socket.SOL_SOCKET, socket.SO_LINGER, _RESET),
+    (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS),
+    (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
+]
+
+
+class PooledHttpClient:
+    """Sends requests over HTTP/1.1 with pooled connections.
+
+    Each address has its own connection pool, because a pool iterates over all
+    of its connections at each request. The kernel detects unresponsive peers:
+    unacknowledged bytes and unanswered keep-alive probes close the connection.
+    A request that is aborted resets its connection, so that none of its bytes
+    arrive later.
+
+    Args:
+        max_connections: Most connections to one address.
+        idle_s: Timeout of idle connections. The pool of an address that got
+            no requests for this long is closed.
+        backend: Opens connections; None for the default of the event loop.
+
+    Attributes:
+        pools: The pools of recently used addresses, by address.
+    """
+
+    def __init__(
+        self,
+        max_connections: int = 1024,
+        idle_s: float = 30.0,
+        backend: httpcore.AsyncNetworkBackend | None = None,
+    ) -> None:
+        self.max_connections = max_connections
+        self.idle_s = idle_s
+        self.backend = backend
+        self.pools: dict[str, AddressPool] = {}
+        self.checked_at = 0.0
+
+    async def aclose(self) -> None:
+        """Closes all connections."""
+        pools, self.pools = self.pools, {}
+        for address_pool in pools.values():
+            await address_pool.pool.aclose()
+
+    @contextlib.asynccontextmanager
+    async def open(
+        self, address: str, request: message.Request, timeout_s: float
+    ) -> AsyncIterator[message.Response]:
+        """Sends a request over a connection of the address's pool."""
+        await self._close_idle_pools()
+        address_pool = self.pools.get(address)
+        if address_pool is None:
+            address_pool = self.pools[address] = AddressPool(
+                make_pool(self.max_connections, self.idle_s, self.backend)
+            )
+        address_pool.active_requests += 1
+        try:
+            async with send(
+                address_pool.pool, address, request, timeout_s
+            ) as response:
+                yield response
+        finally:
+            address_pool.active_requests -= 1
+            address_pool.used_at = trio.current_time()
+
+    async def _close_idle_pools(self) -> None:
+        """Closes the pools of addresses that have been idle for too long."""
+        now = trio.current_time()
+        if now - self.checked_at < self.idle_s:
+            return
+        self.checked_at = now
+        for address, address_pool in list(self.pools.items()):
+            is_idle = now - address_pool.used_at > self.idle_s
+            if is_idle and not address_pool.active_requests:
+                del self.pools[address]
+                await address_pool.pool.aclose()
+
+
+@attrs.define
+class AddressPool:
+    """The connection pool of one address.
+
+    Attributes:
+        pool: The connections.
+        active_requests: Number of requests in progress.
+        used_at: Time of the event loop at which the last request ended.
+    """
+
+    pool: httpcore.AsyncConnectionPool
+    active_requests: int = 0
+    used_at: float = 0.0
+
+
+def make_pool(
+    max_connections: int,
+    idle_s: float,
+    backend: httpcore.AsyncNetworkBackend | None = None,
+) -> httpcore.AsyncConnectionPool:
+    """Returns a connection pool that detects unresponsive peers.
+
+    Args:
+        max_connections: Most open connections.
+        idle_s: Timeout of idle connections.
+        backend: Opens connections; None for the default of the event loop.
+    """
+    return httpcore.AsyncConnectionPool(
+        max_connections=max_connections,
+        max_keepalive_connections=max_connections,
+        keepalive_expiry=idle_s,
+        socket_options=_SOCKET_OPTIONS,
+        network_backend=backend,
+    )
+
+
+@contextlib.asynccontextmanager
+async def send(
+    pool: httpcore.AsyncConnectionPool,
+    address: str,
+    request: message.Request,
+    timeout_s: float,
+) -> AsyncIterator[message.Response]:
+    """Sends a request over a connection of a pool.
+
+    Raises:
+        RequestError: If no response arrives, or it is cut off.
+    """
+    stream = pool.stream(
+        request.method,
+        _url(address, request),
+        headers=list(request.headers.items()),
+        content=request.body,
+        extensions=_extensions(request, timeout_s),
+    )
+    connect_s = request.connect_timeout_s or timeout_s
+    try:
+        async with contextlib.AsyncExitStack() as stack:
+            # The timeout of each read does not limit headers that never end,
+            # so the headers as a whole need one.
+            with trio.move_on_after(connect_s + timeout_s) as scope:
+                response = await stack.enter_async_context(stream)
+            if scope.cancelled_caught:
+                raise RequestError(
+                    "no response headers in time", may_have_been_sent=True
+                )
+            yield message.Response(
+                response.status,
+                _decode_headers(response.headers),
+                chunks=response.aiter_stream(),
+            )
+    except _NOT_SENT_ERRORS as e:
+        raise RequestError(repr(e), may_have_been_sent=False) from e
+    except _HTTP_ERRORS as e:
+        raise RequestError(repr(e), may_have_been_sent=True) from e
+
+
+def _url(address: str, request: message.Request) -> str:
+    query = f"?{request.query}" if request.query else ""
+    return f"http://{address}{request.path}{query}"
+
+
+def _extensions(request: message.Request, timeout_s: float) -> dict[str, Any]:
+    phases = ("connect", "read", "write", "pool")
+    extensions: dict[str, Any] = {"timeout": dict.fromkeys(phases, timeout_s)}
+    if request.connect_timeout_s is not None:
+        extensions["timeout"]["connect"] = request.connect_timeout_s
+    if request.before_send is message.allow_send:
+        return extensions
+
+    async def trace(event: str, _: dict[str, Any]) -> None:
+        if event == "http11.send_request_headers.started":
+            request.before_send()
+
+    extensions["trace"] = trace
+    return extensions
+
+
+def _decode_headers(headers: list[tuple[bytes, bytes]]) -> dict[str, str]:
+    return {
+        name.decode("latin-1").lower(): value.decode("latin-1")
+        for name, value in headers
+    }
--- a/src/kingcupscale/web/server.py
+++ b/src/kingcupscale/web/server.py
@@ -1,4 +1,4 @@
-"""Serving handlers over HTTP with hypercorn."""
+"""Serves HTTP handlers with hypercorn."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -18,21 +18,21 @@
 
 
 class Application:
-    """An ASGI application before one handler.
+    """An ASGI application that passes requests to one handler.
 
-    A client that disconnects cancels the handler, and with it the work of
-    backend servers.
+    If a client disconnects, the handler is cancelled, and with it the requests
+    that it has sent to backend servers.
 
     Args:
-        handler: Answers the requests.
-        limits_now: Returns what a client may send.
+        handler: Handles the requests.
+        get_limits: Returns the limits in force.
     """
 
     def __init__(
-        self, handler: message.Handler, limits_now: limits.LimitsNow
+        self, handler: message.Handler, get_limits: limits.LimitsProvider
     ) -> None:
         self.handler = handler
-        self.limits_now = limits_now
+        self.get_limits = get_limits
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
         """Serves one ASGI connection."""
@@ -50,12 +50,12 @@
         response: message.Response | None = None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_cancel_on_disconnect, nursery, receive)
-            sending = await answer(self.handler, request)
-            await _send_head(sending, send)
-            response = sending
+            handled = await run_handler(self.handler, request)
+            await _send_head(handled, send)
+            response = handled
             nursery.cancel_scope.cancel()
-        # hypercorn reports a disconnect while it ends a response in order, so
-        # nobody may listen for one during the last piece.
+        # hypercorn also reports a disconnect when it completes a response, so
+        # the last chunk is sent after the disconnect watcher is cancelled.
         if response is not None:
             await _send_body(send, response.body, more=False)
 
@@ -71,7 +71,7 @@
         )
         self._check_head(scope)
         self._check_declared_length(request.headers)
-        with trio.move_on_after(self.limits_now().body_timeout_s):
+        with trio.move_on_after(self.get_limits().body_timeout_s):
             request.body = await self._read_body(receive)
             return request
         raise errors.ServiceError(errors.ResultCode.BODY_TIMEOUT)
@@ -79,16 +79,16 @@
     def _check_head(self, scope: Any) -> None:
         size = sum(len(name) + len(value) for name, value in scope["headers"])
         size += len(scope["raw_path"]) + len(scope["query_string"])
-        if size > self.limits_now().header_bytes:
+        if size > self.get_limits().header_bytes:
             raise errors.ServiceError(
                 errors.ResultCode.HEADERS_TOO_LARGE,
-                f"the limit is {self.limits_now().header_bytes} bytes",
+                f"the headers exceed {self.get_limits().header_bytes} bytes",
             )
 
     def _check_declared_length(self, headers: dict[str, str]) -> None:
         length = headers.get("content-length", "0")
-        if length.isdigit() and int(length) > self.limits_now().body_bytes:
-            raise self._too_large()
+        if length.isdigit() and int(length) > self.get_limits().body_bytes:
+            raise self._make_too_large_error()
 
     async def _read_body(self, receive: Any) -> bytes:
         body = bytearray()
@@ -97,22 +97,22 @@
             if event["type"] == "http.disconnect":
                 raise errors.ServiceError(errors.ResultCode.BODY_MALFORMED)
             body += event.get("body", b"")
-            if len(body) > self.limits_now().body_bytes:
-                raise self._too_large()
+            if len(body) > self.get_limits().body_bytes:
+                raise self._make_too_large_error()
             if not event.get("more_body", False):
                 return bytes(body)
 
-    def _too_large(self) -> errors.ServiceError:
+    def _make_too_large_error(self) -> errors.ServiceError:
         return errors.ServiceError(
             errors.ResultCode.BODY_TOO_LARGE,
-            f"the limit is {self.limits_now().body_bytes} bytes",
+            f"the body exceeds {self.get_limits().body_bytes} bytes",
         )
 
 
-async def answer(
+async def run_handler(
     handler: message.Handler, request: message.Request
 ) -> message.Response:
-    """Returns a handler's response, errors turned into numbered ones."""
+    """Returns a handler's response; errors become error responses."""
     try:
         return await handler(request)
     except errors.ServiceError as e:
@@ -126,7 +126,7 @@
         return message.error_response(
             errors.ServiceError(
                 errors.ResultCode.INTERNAL,
-                f"unexpected {type(e).__name__}",
+                f"the handler raised {type(e).__name__}",
                 errors.Run.UNKNOWN,
             )
         )
@@ -152,7 +152,11 @@
 
 
 async def _send_head(response: message.Response, send: Any) -> None:
-    """Sends everything but the last piece of the body."""
+    """Sends the headers, and the body if it is streamed.
+
+    The caller sends the last chunk: the whole body if it is not streamed, or
+    an empty chunk.
+    """
     headers = [
         (name.encode("latin-1"), value.encode("latin-1"))
         for name, value in response.headers.items()
@@ -180,30 +184,30 @@
 async def serve(
     handler: message.Handler,
     bind: str,
-    limits_now: limits.LimitsNow,
+    get_limits: limits.LimitsProvider,
     shutdown: Callable[[], Awaitable[None]],
     graceful_timeout_s: float = 60.0,
     task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serves a handler until told to stop, then ends the open requests.
+    """Serves a handler until shutdown, then completes the open requests.
 
     Args:
-        handler: Answers the requests.
-        bind: ``host:port``; port 0 lets the system choose.
-        limits_now: Returns what a client may send.
-        shutdown: Returns when the server is to stop.
-        graceful_timeout_s: Seconds that open requests get to end.
-        task_status: Told the bound ``host:port``.
+        handler: Handles the requests.
+        bind: ``host:port``; with port 0 the system chooses a port.
+        get_limits: Returns the limits in force.
+        shutdown: Returns when the server has to shut down.
+        graceful_timeout_s: Timeout of completing the open requests.
+        task_status: Is started with the bound ``host:port``.
     """
     config = hypercorn.config.Config()
     config.bind = [bind]
     config.errorlog = None
-    # Idle connections are closed by the worker, which knows whether a request
-    # is being read on them.
+    # The worker closes idle connections itself, because it knows whether a
+    # request is being read on them.
     config.keep_alive_timeout = math.inf
     config.graceful_timeout = graceful_timeout_s
     config.include_server_header = False
     config.include_date_header = False
-    application = Application(handler, limits_now)
-    serving = worker.Worker(application, config, limits_now)
-    await serving.serve(shutdown, task_status)
+    application = Application(handler, get_limits)
+    server_worker = worker.Worker(application, config, get_limits)
+    await server_worker.serve(shutdown, task_status)
--- a/tests/platform/endlessserver.py
+++ b/tests/platform/endlessserver.py
@@ -1,4 +1,4 @@
-"""A server on a real socket whose answers never end."""
+"""Backend servers on real sockets that send endless or repeated responses."""
 
 import re
 
@@ -6,8 +6,8 @@
 
 PIECE = b"x" * 16_384
 EVENTS_AT_ONCE = 50
-# Bytes without end stop here, so that a client that reads on fails the test
-# instead of filling the machine's memory.
+# A response ends here after all, so that a client that keeps reading fails the
+# test instead of exhausting the machine's memory.
 GUARD_BYTES = 4_000_000_000
 
 SIGNED = (
@@ -18,14 +18,14 @@
 OK = b"HTTP/1.1 200 OK\r\n" + SIGNED
 CHUNKED = OK + b"Transfer-Encoding: chunked\r\n\r\n"
 EARLY_HINTS = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
-WHOLE = OK + b"Content-Length: 4\r\n\r\nfine"
+COMPLETE_RESPONSE = OK + b"Content-Length: 4\r\n\r\nfine"
 
 
 def _chunk(data):
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-# What comes first, and what comes again and again.
+# By kind: the start of the response, and the part that is repeated.
 KINDS = {
     "head": (b"HTTP/1.1 200 OK\r\nX-Long: ", PIECE),
     "head_lines": (b"HTTP/1.1 200 OK\r\n", b"X-Line: y\r\n" * 1000),
@@ -40,13 +40,13 @@
     "body_until_the_end": (OK + b"Connection: close\r\n\r\n", PIECE),
     "event": (CHUNKED + _chunk(b"id: 1\ndata: "), _chunk(PIECE)),
     "events": (CHUNKED, None),
-    "behind_an_answer": (WHOLE, PIECE),
-    "copies_of_an_answer": (WHOLE, WHOLE * 50),
+    "behind_an_answer": (COMPLETE_RESPONSE, PIECE),
+    "copies_of_an_answer": (COMPLETE_RESPONSE, COMPLETE_RESPONSE * 50),
 }
 
 
 class Server:
-    """Answers every request with bytes that never end."""
+    """Answers every request with an endless response."""
 
     def __init__(self, kind):
         self.first, self.piece = KINDS[kind]
@@ -93,12 +93,12 @@
             await trio.aclose_forcefully(stream)
 
 
-class Stutterer(Server):
-    """Sends each answer once more as the next request comes."""
+class DuplicatingServer(Server):
+    """Repeats each response before the response to the next request."""
 
     def __init__(self):
         super().__init__("head")
-        self.stuttered = 0
+        self.duplicates = 0
 
     async def _answer(self, stream):
         last = b""
@@ -111,12 +111,12 @@
                 name = re.search(rb"(?i)request-id: (\S+)", request)[1]
                 body = b"answer to " + name
                 head = OK % {b"id": name}
-                whole = head + b"Content-Length: %d\r\n\r\n%s" % (
+                response = head + b"Content-Length: %d\r\n\r\n%s" % (
                     len(body),
                     body,
                 )
-                self.stuttered += bool(last)
-                await stream.send_all(last + whole)
-                last, request = whole, b""
+                self.duplicates += bool(last)
+                await stream.send_all(last + response)
+                last, request = response, b""
         except trio.BrokenResourceError:
             self.closed += 1
--- a/tests/platform/serverstandin.py
+++ b/tests/platform/fakeservers.py
@@ -1,4 +1,4 @@
-"""The platform's engines and cloud in memory, keeping book of what they see."""
+"""In-memory backend servers and cloud that record the requests they get."""
 
 import collections
 
@@ -8,12 +8,12 @@
 
 from kingcupscale.platform import names
 from kingcupscale.web import message
-from tests.platform import storestandin
+from tests.platform import fakestore
 
 
 @attrs.define
 class Run:
-    """A run that an engine began."""
+    """A run that a server has started."""
 
     request: str
     server: str
@@ -25,7 +25,7 @@
 
 
 class Server:
-    """A backend server: a model engine, or a plain one without a model."""
+    """A backend server: a model engine, or a plain server without a model."""
 
     def __init__(self, site, server_id, service, zone, model="", slots=4):
         self.site = site
@@ -38,20 +38,20 @@
         self.event_s = 0.02
         self.length = 10
         self.orders = 0
-        self.beats = 0
+        self.heartbeats = 0
         self.fence = 0
         self.loading = ""
         self.state = "ready"
         self.is_full = False
         self.statuses = []
-        self.begun = []
+        self.started_runs = []
         self.running = set()
-        self.drop_after = None
+        self.stall_after = None
         self.is_leaving = False
         self.born = 1
 
-    def enter(self):
-        self.beats += 1
+    def register(self):
+        self.heartbeats += 1
         entry = {
             "service": self.service,
             "address": self.address,
@@ -60,7 +60,7 @@
             "slots": self.slots,
             "state": self.state,
             "coldRemainingMs": 0,
-            "sequence": self.beats,
+            "sequence": self.heartbeats,
             "born": self.born,
             "models": self.models(),
         }
@@ -73,17 +73,17 @@
         ]
 
     async def __call__(self, request):
-        response = await self.answer(request)
+        response = await self.handle(request)
         if self.is_leaving:
-            response.headers[names.LEAVING] = "1"
+            response.headers[names.SERVER_LEAVING] = "1"
         return response
 
-    async def answer(self, request):
+    async def handle(self, request):
         expected = request.headers.get(names.EXPECT_SERVER, self.id)
         if expected != self.id:
             return message.Response(421, {names.SERVER_ID: self.id})
         if request.path == "/report":
-            return storestandin.json_response(
+            return fakestore.json_response(
                 {
                     "stage": "mixed",
                     "models": self.models(),
@@ -92,12 +92,12 @@
                 }
             )
         if request.path == "/order":
-            return self.take_order(orjson.loads(request.body))
+            return self.handle_order(orjson.loads(request.body))
         if names.KEY in request.headers:
-            self.site.broken.append("a key reached a server")
+            self.site.violations.append("a key reached a server")
         return await self.run(request)
 
-    def take_order(self, order):
+    def handle_order(self, order):
         self.site.orders.append((self.id, order, trio.current_time()))
         if order["fence"] < self.fence:
             return message.Response(412)
@@ -123,7 +123,7 @@
             names.SERVER_LOAD: f"{len(self.running)},0,{self.slots}",
         }
 
-    def turn_away(self, status=503):
+    def reject(self, status=503):
         return message.Response(status, {names.NOT_RUN: "1"})
 
     async def run(self, request):
@@ -131,10 +131,10 @@
         version = self.versions.get(model, 0)
         wanted = request.headers.get(names.EXPECT_VERSION)
         if wanted is not None and int(wanted) != version:
-            return self.turn_away(421)
+            return self.reject(421)
         is_full = self.is_full or len(self.running) >= self.slots
         if is_full or self.loading == model != "":
-            return self.turn_away()
+            return self.reject()
         resumed = request.headers.get(names.RESUME_AFTER)
         run = Run(
             request.headers[names.REQUEST_ID],
@@ -143,7 +143,7 @@
             int(resumed) if resumed else None,
             trio.current_time(),
         )
-        self.begun.append(run)
+        self.started_runs.append(run)
         self.site.runs.append(run)
         status = self.statuses.pop(0) if self.statuses else 200
         if status != 200:
@@ -166,7 +166,7 @@
             first = (run.resumed_after or 0) + 1
             for number in range(first, self.length + 1):
                 await trio.sleep(self.event_s)
-                if self.drop_after is not None and number > self.drop_after:
+                if self.stall_after is not None and number > self.stall_after:
                     await trio.sleep_forever()
                 run.events += 1
                 yield f"id: {number}\ndata: t{number}\n\n".encode()
@@ -176,7 +176,7 @@
 
 
 class Cloud:
-    """Takes usage reports and orders for servers."""
+    """Accepts usage reports and orders for servers."""
 
     def __init__(self, site):
         self.site = site
@@ -188,7 +188,7 @@
     async def __call__(self, request):
         if self.is_down:
             return message.Response(503)
-        fence = int(request.headers[names.FENCE])
+        fence = int(request.headers[names.FENCING_TOKEN])
         holder = request.headers[names.DUTY_HOLDER]
         body = orjson.loads(request.body)
         if request.path == "/usage":
--- a/tests/platform/standin.py
+++ b/tests/platform/harness.py
@@ -1,7 +1,8 @@
-"""The users' platform in memory: its store, engines, cloud and callers.
+"""Test harness: nodes on an in-memory platform in virtual time.
 
-It speaks the platform's wire, so that the adapter is part of what is tested,
-and it keeps book of what it sees, for the checks.
+The platform has a store, backend servers, a cloud API and callers. Nodes call
+it with the platform's protocols, so the tests cover the adapter as well. It
+records the calls that it receives, for the tests' assertions.
 """
 
 import base64
@@ -18,8 +19,8 @@
 from kingcupscale.platform import names
 from kingcupscale.platform import process
 from kingcupscale.web import message
-from tests.platform import serverstandin
-from tests.platform import storestandin
+from tests.platform import fakeservers
+from tests.platform import fakestore
 
 STORE = "store:1"
 CLOUD = "cloud:1"
@@ -33,8 +34,8 @@
 
 
 def make_configuration(version=1, keys=(KEY,), routes=(), models=(MODEL,)):
-    """Returns a configuration as an operator writes it."""
-    usual = [
+    """Returns a configuration document as an operator writes it."""
+    base_routes = [
         {
             "name": "train",
             "host": HOST,
@@ -85,7 +86,7 @@
     ]
     return {
         "version": version,
-        "routes": [*usual, *routes],
+        "routes": [*base_routes, *routes],
         "services": [
             {
                 "name": "engines",
@@ -113,7 +114,7 @@
 
 
 class Node:
-    """A node of the product in the stand-in's world."""
+    """A node that runs on a site."""
 
     def __init__(self, site, name, zone):
         self.site = site
@@ -135,10 +136,10 @@
             orders_servers=False,
             bounds=deployment.Bounds(),
         )
-        carrier = networks.MemoryExchanger(site.network, name)
+        client = networks.MemoryHttpClient(site.network, name)
         self.runtime = process.make_runtime(
             settings,
-            process.Exchangers(carrier, carrier, carrier, carrier),
+            process.HttpClients(client, client, client, client),
             site.clock,
             random.Random(name),
         )
@@ -146,7 +147,9 @@
         self.scope = trio.CancelScope()
         site.network.add(name, self.scope.cancel)
         site.network.serve(name, settings.callers, self.frontend)
-        site.network.serve(name, settings.peers, self.runtime.answer_peer)
+        site.network.serve(
+            name, settings.peers, self.runtime.handle_peer_request
+        )
 
     async def run(self):
         with self.scope:
@@ -154,17 +157,23 @@
 
 
 class Site:
-    """A store, two zones of servers, nodes and callers, on virtual time."""
+    """A store, a cloud API, servers in two zones and nodes, in virtual time.
+
+    Attributes:
+        violations: Rules of the platform that a node has broken.
+        runs: Requests that servers have executed.
+        orders: Orders that servers have received.
+    """
 
     def __init__(self, nursery, nodes=2, plan=None):
         self.nursery = nursery
         self.clock = virtualtime.VirtualClock()
         self.network = networks.Network(nursery, plan or faults.FaultPlan())
-        self.broken = []
+        self.violations = []
         self.runs = []
         self.orders = []
-        self.store = storestandin.Store()
-        self.cloud = serverstandin.Cloud(self)
+        self.store = fakestore.Store()
+        self.cloud = fakeservers.Cloud(self)
         self.network.serve("store", STORE, self.store)
         self.network.serve("cloud", CLOUD, self.cloud)
         self.servers = {}
@@ -175,7 +184,7 @@
             ("p2", "plain", "b", ""),
         ):
             self.add_server(
-                serverstandin.Server(self, server_id, service, zone, model)
+                fakeservers.Server(self, server_id, service, zone, model)
             )
         self.write_configuration(make_configuration())
         self.nodes = [
@@ -186,12 +195,12 @@
     def add_server(self, server):
         self.servers[server.id] = server
         self.network.serve(server.id, server.address, server)
-        server.enter()
+        server.register()
 
     def write_configuration(self, configuration):
         self.store.put(names.CONFIGURATION_KEY, orjson.dumps(configuration))
 
-    def name_version(self, version, model=MODEL):
+    def set_target_version(self, version, model=MODEL):
         self.store.put(
             names.VERSIONS_PREFIX + model,
             orjson.dumps({"model": model, "version": version}),
@@ -258,8 +267,8 @@
 
 
 @contextlib.asynccontextmanager
-async def opened(nodes=2, plan=None, is_started=True):
-    """Yields a site, and ends it behind the body."""
+async def launch(nodes=2, plan=None, is_started=True):
+    """Yields a site and stops it when the context ends."""
     async with trio.open_nursery() as nursery:
         site = Site(nursery, nodes, plan)
         if is_started:
@@ -269,7 +278,7 @@
 
 
 def make_batch(batch_id, items=4, minimum=1, step=0, scored=True, model=MODEL):
-    """Returns a batch as a trainer sends it."""
+    """Returns the body of a request with which a trainer submits a batch."""
 
     def make_item(number):
         item = {
@@ -304,5 +313,5 @@
 
 
 def text_of(length):
-    """Returns the whole text of a server's stream."""
+    """Returns the complete text of a server's stream of so many events."""
     return "\n".join(f"t{number}" for number in range(1, length + 1))
--- a/tests/platform/test_batches.py
+++ b/tests/platform/test_batches.py
@@ -1,4 +1,8 @@
-"""Batches before the platform's stand-in, under faults."""
+"""Batches on a simulated platform, with faults of nodes, servers and store.
+
+Guards against results that are lost, written twice or generated again after a
+node, a backend server or the store has failed.
+"""
 
 import contextlib
 import unittest
@@ -8,13 +12,13 @@
 
 from kingcupscale.platform import names
 from tests import virtual
-from tests.platform import standin
+from tests.platform import harness
 
 
 class BatchTest(unittest.TestCase):
     @virtual.on_virtual_time
     async def test_batch_is_run_scored_and_read_from_any_node(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             one, two = site.nodes
             self.assertEqual((await site.submit(one)).status, 202)
             for node in (two, one):
@@ -22,15 +26,15 @@
                 self.assertEqual(len(results), 4)
                 for result in results:
                     self.assertEqual(result["state"], "done")
-                    self.assertEqual(result["text"], standin.text_of(10))
+                    self.assertEqual(result["text"], harness.text_of(10))
                     self.assertEqual(result["versions"], [1])
                     number = result["id"].rpartition("i")[2]
                     self.assertEqual(result["score"], f"signed-b1-s{number}")
-            self.assertEqual(site.broken, [])
+            self.assertEqual(site.violations, [])
 
     @virtual.on_virtual_time
-    async def test_repeated_batch_is_kept_once(self):
-        async with standin.opened() as site:
+    async def test_repeated_submission_is_stored_once(self):
+        async with harness.launch() as site:
             for node in (*site.nodes, *site.nodes):
                 self.assertEqual((await site.submit(node)).status, 202)
             await site.read_all(site.nodes[0])
@@ -40,7 +44,7 @@
 
     @virtual.on_virtual_time
     async def test_ended_batch_sends_nothing_more_and_stays_readable(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             for server in site.servers.values():
                 server.length = 200
             node = site.nodes[0]
@@ -60,8 +64,8 @@
             self.assertEqual((status, page["total"]), (200, 12))
 
     @virtual.on_virtual_time
-    async def test_leader_lost_is_followed_without_double_positions(self):
-        async with standin.opened(nodes=3) as site:
+    async def test_failover_assigns_no_position_twice(self):
+        async with harness.launch(nodes=3) as site:
             leader = site.holder()
             reader = site.other(leader)
             for server in site.servers.values():
@@ -73,13 +77,13 @@
             results = await site.read_all(reader)
             self.assertEqual(len({r["id"] for r in results}), 16)
             self.assertEqual(len(results), 16)
-            listed = before["results"]
-            self.assertEqual(results[: len(listed)], listed)
+            earlier = before["results"]
+            self.assertEqual(results[: len(earlier)], earlier)
 
     @parameterized.parameterized.expand([("killed",), ("stopped",), ("cut",)])
     @virtual.on_virtual_time
-    async def test_texts_go_on_after_a_takeover(self, how):
-        async with standin.opened(nodes=3) as site:
+    async def test_texts_are_resumed_after_a_takeover(self, how):
+        async with harness.launch(nodes=3) as site:
             leader = site.holder()
             reader = site.other(leader)
             for server in site.servers.values():
@@ -89,13 +93,13 @@
             if how == "killed":
                 site.network.crash(leader.name)
             elif how == "stopped":
-                leader.runtime.drain_asked.set()
+                leader.runtime.drain_requested.set()
             else:
                 site.network.cut(leader.name, "store")
             left_at = trio.current_time()
             results = await site.read_all(reader)
             self.assertEqual(
-                [r["text"] for r in results], [standin.text_of(200)] * 6
+                [r["text"] for r in results], [harness.text_of(200)] * 6
             )
             later = [
                 r for r in site.runs if r.at > left_at and "-i" in r.request
@@ -103,8 +107,8 @@
             self.assertEqual([r for r in later if not r.resumed_after], [])
 
     @virtual.on_virtual_time
-    async def test_node_that_the_store_turns_away_serves_batches(self):
-        async with standin.opened(nodes=3) as site:
+    async def test_node_without_store_access_serves_batches(self):
+        async with harness.launch(nodes=3) as site:
             node = site.other(site.holder())
             site.network.cut(node.name, "store")
             await trio.sleep(3)
@@ -117,8 +121,8 @@
             self.assertEqual(status, 404)
 
     @virtual.on_virtual_time
-    async def test_stand_in_runs_batches_while_the_store_is_down(self):
-        async with standin.opened(nodes=3) as site:
+    async def test_standby_runs_batches_while_the_store_is_down(self):
+        async with harness.launch(nodes=3) as site:
             leader = site.holder()
             reader = site.other(leader)
             for server in site.servers.values():
@@ -142,8 +146,8 @@
             self.assertTrue(meanwhile)
 
     @virtual.on_virtual_time
-    async def test_two_who_think_they_lead_list_each_item_once(self):
-        async with standin.opened(nodes=3) as site:
+    async def test_two_leaders_write_each_result_once(self):
+        async with harness.launch(nodes=3) as site:
             leader = site.holder()
             for node in site.nodes:
                 if node is not leader:
@@ -154,27 +158,27 @@
             results = await site.read_all(reader)
             self.assertEqual(len({r["id"] for r in results}), 16)
             self.assertEqual(len(results), 16)
-            # Other nodes may be this far behind a position that was read.
+            # Reads at other nodes may lag by up to 1 s.
             await trio.sleep(1)
             _, page = await site.read(leader)
             self.assertEqual(page["results"], results)
 
     @virtual.on_virtual_time
-    async def test_silent_stream_goes_on_elsewhere_after_its_last_event(self):
-        async with standin.opened() as site:
-            site.servers["e1"].drop_after = 4
+    async def test_stalled_stream_is_resumed_on_another_server(self):
+        async with harness.launch() as site:
+            site.servers["e1"].stall_after = 4
             await site.submit(site.nodes[0], items=6)
             results = await site.read_all(site.nodes[0])
             self.assertEqual(
-                {r["text"] for r in results}, {standin.text_of(10)}
+                {r["text"] for r in results}, {harness.text_of(10)}
             )
             resumed = [r for r in site.runs if r.resumed_after]
             self.assertTrue(resumed)
             self.assertEqual({r.server for r in resumed}, {"e2"})
 
     @virtual.on_virtual_time
-    async def test_text_with_a_gap_goes_on_before_the_gap(self):
-        async with standin.opened() as site:
+    async def test_text_with_a_gap_is_resumed_before_the_gap(self):
+        async with harness.launch() as site:
             whole = site.servers["e1"].stream
 
             async def skip(run):
@@ -189,12 +193,12 @@
             await site.submit(site.nodes[0], items=6)
             results = await site.read_all(site.nodes[0])
             self.assertEqual(
-                [r["text"] for r in results], [standin.text_of(10)] * 6
+                [r["text"] for r in results], [harness.text_of(10)] * 6
             )
 
     @virtual.on_virtual_time
-    async def test_score_is_no_signature_of_a_failure(self):
-        async with standin.opened() as site:
+    async def test_signature_of_a_failed_response_is_not_a_score(self):
+        async with harness.launch() as site:
             for name in ("p1", "p2"):
                 site.servers[name].statuses = [500] * 50
             await site.submit(site.nodes[0], items=1)
@@ -202,8 +206,8 @@
             self.assertEqual(result["state"], "errored")
 
     @virtual.on_virtual_time
-    async def test_slow_engine_is_left_for_a_faster_one(self):
-        async with standin.opened() as site:
+    async def test_samples_move_from_a_slow_engine_to_a_faster_one(self):
+        async with harness.launch() as site:
             for server in site.servers.values():
                 server.length = 60
             await site.submit(site.nodes[0], "warm", items=4)
@@ -221,24 +225,26 @@
         ]
     )
     @virtual.on_virtual_time
-    async def test_item_that_cannot_be_done(self, _, status, most, least):
-        async with standin.opened() as site:
+    async def test_item_that_always_fails_is_errored(
+        self, _, status, max_runs, min_runs
+    ):
+        async with harness.launch() as site:
             for name in ("e1", "e2"):
                 site.servers[name].statuses = [status] * 50
             await site.submit(site.nodes[0], items=1)
             (result,) = await site.read_all(site.nodes[0])
             self.assertEqual(result["state"], "errored")
             runs = [r for r in site.runs if "-i" in r.request]
-            self.assertLessEqual(len(runs), most)
-            self.assertGreaterEqual(len(runs), least)
+            self.assertLessEqual(len(runs), max_runs)
+            self.assertGreaterEqual(len(runs), min_runs)
 
     @virtual.on_virtual_time
     async def test_batch_survives_the_loss_of_all_nodes(self):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             await site.submit(site.nodes[0], items=8)
             for node in site.nodes:
                 site.network.crash(node.name)
-            site.nodes = [standin.Node(site, n, "a") for n in ("n8", "n9")]
+            site.nodes = [harness.Node(site, n, "a") for n in ("n8", "n9")]
             await site.start()
             results = await site.read_all(site.nodes[1])
             self.assertEqual(len(results), 8)
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Documents of others: what is taken over of them."""
+"""Decoding of documents that come from trainers."""
 
 import unittest
 
@@ -16,7 +16,7 @@
     kind=catalogue.RouteKind.BATCH,
     shares=(catalogue.Share("engines", 1.0),),
     timeout_s=10.0,
-    target_s=0.4,
+    target_latency_s=0.4,
     priority=1,
     max_attempts=3,
 )
@@ -35,7 +35,7 @@
             ("other", "X-Anything", True),
         ]
     )
-    def test_headers_that_are_not_the_senders_to_set(self, _, name, is_kept):
+    def test_headers_reserved_for_nodes_are_dropped(self, _, name, is_kept):
         item = {"id": "a", "path": "/x", "body": "", "headers": {name: "1"}}
         body = orjson.dumps({"items": [item]})
         (made,) = documents.decode_batch("b", "o", ROUTE, body).items
--- a/tests/platform/test_slow.py
+++ b/tests/platform/test_slow.py
@@ -1,4 +1,4 @@
-"""Slow servers that are sound, and stalled ones that are not."""
+"""Slow servers, whose runs must finish, and stalled servers, whose runs end."""
 
 import unittest
 
@@ -7,12 +7,12 @@
 
 from kingcupscale.platform import names
 from tests import virtual
-from tests.platform import standin
+from tests.platform import harness
 
 STREAM_PATH = "/stream/"
 STREAM_ROUTE = {
     "name": "stream",
-    "host": standin.HOST,
+    "host": harness.HOST,
     "pathPrefix": STREAM_PATH,
     "kind": "non_idempotent",
     "streaming": True,
@@ -25,8 +25,8 @@
 ENGINES = ("e1", "e2")
 
 
-def _trickle(server, pause_s):
-    """Has a server send a byte now and then, and never an event."""
+def _send_bytes_without_events(server, pause_s):
+    """Makes a server send single bytes that never form an event."""
 
     async def stream(run):
         while True:
@@ -46,29 +46,29 @@
     )
     @virtual.on_virtual_time
     async def test_slow_engines_finish_their_texts(self, _, event_s, length):
-        async with standin.opened() as site:
+        async with harness.launch() as site:
             for name in ENGINES:
                 site.servers[name].event_s = event_s
                 site.servers[name].length = length
             await site.submit(site.nodes[0], items=2)
             results = await site.read_all(site.nodes[0], seconds=120)
             texts = [result["text"] for result in results]
-            self.assertEqual(texts, 2 * [standin.text_of(length)])
+            self.assertEqual(texts, 2 * [harness.text_of(length)])
 
     @virtual.on_virtual_time
-    async def test_stalled_engine_is_left_for_another(self):
-        async with standin.opened() as site:
-            _trickle(site.servers["e1"], 0.3)
+    async def test_samples_of_a_stalled_engine_run_on_another(self):
+        async with harness.launch() as site:
+            _send_bytes_without_events(site.servers["e1"], 0.3)
             await site.submit(site.nodes[0])
             results = await site.read_all(site.nodes[0])
             texts = [result["text"] for result in results]
-            self.assertEqual(texts, 4 * [standin.text_of(10)])
+            self.assertEqual(texts, 4 * [harness.text_of(10)])
 
 
 class StreamTest(unittest.TestCase):
     async def _open(self, site):
         site.write_configuration(
-            standin.make_configuration(version=2, routes=[STREAM_ROUTE])
+            harness.make_configuration(version=2, routes=[STREAM_ROUTE])
         )
         await trio.sleep(1)
         return await site.call(
@@ -79,13 +79,13 @@
             **{
                 names.REQUEST_ID: "q1",
                 names.DEADLINE_MS: "6000",
-                names.MODEL: standin.MODEL,
+                names.MODEL: harness.MODEL,
             },
         )
 
     @virtual.on_virtual_time
-    async def test_slow_stream_is_whole(self):
-        async with standin.opened(nodes=1) as site:
+    async def test_slow_stream_is_complete(self):
+        async with harness.launch(nodes=1) as site:
             for name in ENGINES:
                 site.servers[name].event_s = 1.1
                 site.servers[name].length = 5
@@ -93,11 +93,13 @@
             self.assertEqual(response.body.count(b"id: "), 5)
 
     @virtual.on_virtual_time
-    async def test_stalled_stream_ends_with_its_time(self):
-        async with standin.opened(nodes=1) as site:
+    async def test_stalled_stream_ends_at_its_deadline(self):
+        async with harness.launch(nodes=1) as site:
             for name in ENGINES:
-                _trickle(site.servers[name], 0.3)
-            began_at = trio.current_time()
-            with self.assertRaisesRegex(Exception, "without end"):
+                _send_bytes_without_events(site.servers[name], 0.3)
+            started_at = trio.current_time()
+            with self.assertRaisesRegex(
+                Exception, "response body not complete at its deadline"
+            ):
                 await self._open(site)
-            self.assertLess(trio.current_time() - began_at, 1 + 6 + 0.25)
+            self.assertLess(trio.current_time() - started_at, 1 + 6 + 0.25)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from tests.platform import standin
+from tests.platform import harness
 
 PAUSE_LEAST_S = 0.2
 PAUSE_MOST_S = 1.5
@@ -184,7 +184,7 @@
     async def forget_store_history(self, for_s):
         """Has the store discard its history."""
         self._note("store history")
-        self.world.store.forget_history()
+        self.world.store.compact()
 
     async def stop_cloud(self, for_s):
         """Has the intake of usage reports refuse everything."""
@@ -208,7 +208,7 @@
         self.world.configurations += 1
         number = self.world.configurations
         self.world.write_configuration(
-            standin.make_configuration(
-                number, keys=(standin.KEY, f"further-{number}")
+            harness.make_configuration(
+                number, keys=(harness.KEY, f"further-{number}")
             )
         )
--- a/tests/storage/test_pace.py
+++ b/tests/storage/test_polling.py
@@ -1,17 +1,21 @@
-"""How often nodes ask the one that they follow."""
+"""Polling intervals of nodes that follow another node.
+
+Guards against polls of a large fleet that overload the followed node, and
+against intervals that delay a new configuration too long.
+"""
 
 import unittest
 
 import parameterized
 import trio
 
-from kingcupscale.peering import pace
+from kingcupscale.peering import polling
 from kingcupscale.peering import relay
 from tests import virtual
-from tests.platform import standin
+from tests.platform import harness
 
 
-class PaceTest(unittest.TestCase):
+class PollingTest(unittest.TestCase):
     @parameterized.parameterized.expand(
         [
             ("few", 4, 2.0, 0.35),
@@ -21,34 +25,34 @@
             ("short_bound", 380, 0.5, 0.35),
         ]
     )
-    def test_pause_grows_with_the_fleet_within_the_bound(
+    def test_interval_grows_with_the_fleet_up_to_a_limit(
         self, _, nodes, apply_s, expected
     ):
-        found = pace.idle_pause_s(nodes, apply_s)
+        found = polling.idle_poll_interval_s(nodes, apply_s)
         self.assertAlmostEqual(found, expected)
 
     @virtual.on_virtual_time
-    async def test_followed_node_answers_a_bounded_number(self):
-        """Load pattern: servers change their entries all the time."""
-        async with standin.opened(nodes=60) as site:
+    async def test_followed_node_receives_a_limited_number_of_polls(self):
+        """Servers update their entries all the time."""
+        async with harness.launch(nodes=60) as site:
             leader = site.holder().runtime
-            answers = 0
+            polls = 0
             follow = leader.relay.__call__
 
             async def count(request):
-                nonlocal answers
-                answers += request.path == relay.PATH
+                nonlocal polls
+                polls += request.path == relay.PATH
                 return await follow(request)
 
             leader.relay = count
             for _ in range(100):
                 for server in site.servers.values():
-                    server.enter()
+                    server.register()
                 await trio.sleep(0.1)
-            self.assertLess(answers / 10, 130)
-            configuration = standin.make_configuration(version=9)
+            self.assertLess(polls / 10, 130)
+            configuration = harness.make_configuration(version=9)
             site.write_configuration(configuration)
             await trio.sleep(1.2)
             for node in site.nodes:
-                known = node.runtime.catalogue_now()
+                known = node.runtime.current_catalogue()
                 self.assertEqual(known.version, 9)
--- a/tests/storage/test_relay.py
+++ b/tests/storage/test_relay.py
@@ -1,4 +1,9 @@
-"""Following another node's mirror: nothing is skipped."""
+"""Following another node's mirror.
+
+Guards against a change that is added just as a long poll ends and is skipped by
+the position in the response, and against a response that claims to be newer
+than the followed mirror.
+"""
 
 import random
 import unittest
@@ -10,18 +15,18 @@
 from kingcupscale.fakes import virtualtime
 from kingcupscale.peering import relay
 from kingcupscale.storage import changelog
-from kingcupscale.storage import feed as feeds
+from kingcupscale.storage import mirror as mirrors
 from kingcupscale.storage import store as stores
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from tests import virtual
 
 
-async def follow_nobody(position):
+async def follow_no_node(position):
     return None
 
 
-class HandlerExchanger:
-    """Carries calls to one handler."""
+class HandlerHttpClient:
+    """Passes requests to one handler."""
 
     def __init__(self, handler):
         self.handler = handler
@@ -29,13 +34,13 @@
     def open(self, address, request, timeout_s):
         return self._open(request)
 
-    @exchange.contextlib.asynccontextmanager
+    @httpclient.contextlib.asynccontextmanager
     async def _open(self, request):
         yield await self.handler(request)
 
 
 class NoBatches:
-    """A node that knows no batches."""
+    """A batch index without batches."""
 
     records = {}
 
@@ -48,22 +53,24 @@
         [(seed,) for seed in (1, 2, 3, 4, 5, 6, 7, 8)]
     )
     @virtual.on_virtual_time
-    async def test_change_at_the_end_of_a_wait_is_not_skipped(self, seed):
+    async def test_change_at_the_end_of_a_long_poll_is_not_skipped(self, seed):
         rng = random.Random(seed)
         clock = virtualtime.VirtualClock()
-        feed = feeds.Feed(None, clock, "n1", lambda: 0.0, follow_nobody)
-        feed.current_at = 0.0
+        mirror = mirrors.StoreMirror(
+            None, clock, "n1", lambda: 0.0, follow_no_node
+        )
+        mirror.current_at = 0.0
         client = relay.HttpRelayClient(
-            HandlerExchanger(relay.RelayHandler(feed, NoBatches()))
+            HandlerHttpClient(relay.RelayHandler(mirror, NoBatches()))
         )
 
         async def change():
             for revision in range(1, 41):
-                # Most changes come just as a wait ends.
-                await trio.sleep(relay.WAIT_S * rng.choice([0.5, 1, 1, 1]))
-                feed.apply(stores.Entry("key", b"v", revision, 1))
-                feed.revision = revision
-                feed.announce()
+                # Most changes are added just as a long poll ends.
+                await trio.sleep(relay.LONG_POLL_S * rng.choice([0.5, 1, 1, 1]))
+                mirror.apply(stores.Entry("key", b"v", revision, 1))
+                mirror.revision = revision
+                mirror.notify_changed()
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(change)
@@ -78,27 +85,30 @@
                 self.assertGreaterEqual(known, position.revision)
 
     @virtual.on_virtual_time
-    async def test_answer_is_no_newer_than_the_mirror(self):
+    async def test_response_is_no_newer_than_the_mirror(self):
         clock = virtualtime.VirtualClock()
-        feed = feeds.Feed(None, clock, "n1", lambda: 0.0, follow_nobody)
-        feed.current_at = 0.0
-        feed.revision = 9
+        mirror = mirrors.StoreMirror(
+            None, clock, "n1", lambda: 0.0, follow_no_node
+        )
+        mirror.current_at = 0.0
+        mirror.revision = 9
         client = relay.HttpRelayClient(
-            HandlerExchanger(relay.RelayHandler(feed, NoBatches()))
+            HandlerHttpClient(relay.RelayHandler(mirror, NoBatches()))
         )
 
         async def change():
-            # The follower knows of this one, so it gets an empty answer early.
+            # The follower already has this change, so the long poll ends early
+            # with an empty response.
             await trio.sleep(0.1)
-            feed.apply(stores.Entry("key", b"v", 9, 9))
-            feed.announce()
+            mirror.apply(stores.Entry("key", b"v", 9, 9))
+            mirror.notify_changed()
 
         async with trio.open_nursery() as nursery:
             await trio.sleep(5)
             nursery.start_soon(change)
-            asked_at = trio.current_time()
+            requested_at = trio.current_time()
             changes = await client.follow(
                 "n1", changelog.Position("", 0, 9), interest.EVERYTHING
             )
         self.assertEqual(changes.entries, [])
-        self.assertLessEqual(asked_at - changes.age_s, feed.current_at)
+        self.assertLessEqual(requested_at - changes.age_s, mirror.current_at)
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -14,7 +14,7 @@
 from kingcupscale.fakes import service as fake_service
 from kingcupscale.fakes import virtualtime
 from kingcupscale.serving import retrybudget
-from kingcupscale.web import exchange
+from kingcupscale.web import httpclient
 from kingcupscale.web import message
 from tests import virtual
 
@@ -25,8 +25,8 @@
 async def ask(cluster, request, key=None, node="node-1"):
     if key is not None:
         request.headers["authorization"] = f"Bearer {key}"
-    return await exchange.fetch(
-        cluster.exchanger, f"{node}:callers", request, 60
+    return await httpclient.fetch(
+        cluster.http_client, f"{node}:callers", request, 60
     )
 
 
@@ -368,12 +368,12 @@
         budget = retrybudget.RetryBudget(virtualtime.VirtualClock())
         taken = 0
         for _ in range(1000):
-            budget.note_request()
-            taken += budget.take() + budget.take()
-        most = retrybudget.LARGEST + 1000 * retrybudget.RETRY_SHARE
+            budget.record_request()
+            taken += budget.try_spend() + budget.try_spend()
+        most = retrybudget.MAX_BALANCE + 1000 * retrybudget.RETRY_RATIO
         self.assertLessEqual(taken, most)
         await trio.sleep(10)
-        self.assertTrue(budget.take())
+        self.assertTrue(budget.try_spend())
 
 
 class PlannedStopTest(unittest.TestCase):
