--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -200,7 +200,7 @@
     ),
     breaks.Break(
         "accepted configuration in force, never reverts",
-        "configuration/spreading.py",
+        "configuration/replication.py",
         "if self.replica.revision and self.admission.is_majority(reached):",
         "if True:",
         "tests.test_configuration.ClusterTest"
--- a/src/kingcupscale/capacity/ordering.py
+++ b/src/kingcupscale/capacity/ordering.py
@@ -168,7 +168,7 @@
         """Makes the configuration name just the servers that exist."""
         leaving = {s.address for s in listed if s.leaving}
         if leaving and self.pools.replica.mark_leaving(leaving):
-            await self.editor.spreader.push()
+            await self.editor.replicator.push()
         present = self.pools.replica.document.ordered
         wanted = {s.name: self._make_entry(s) for s in listed}
         gone = [
--- a/src/kingcupscale/configuration/editor.py
+++ b/src/kingcupscale/configuration/editor.py
@@ -12,7 +12,7 @@
 from kingcupscale.configuration import check
 from kingcupscale.configuration import document
 from kingcupscale.configuration import replica as replicas
-from kingcupscale.configuration import spreading
+from kingcupscale.configuration import replication
 from kingcupscale.peering import members as membership
 from kingcupscale.providers import calls
 from kingcupscale.providers import keyvalue
@@ -86,17 +86,19 @@
     """Decides changes through the store and brings them into force.
 
     Args:
-        spreader: Brings changes to every node.
+        replicator: Brings changes to every node.
         clock: Tells the time.
     """
 
     def __init__(
-        self, spreader: spreading.Spreader, clock: clocks.Clock
+        self,
+        replicator: replication.ConfigurationReplicator,
+        clock: clocks.Clock,
     ) -> None:
-        self.spreader = spreader
-        self.replica: replicas.Replica = spreader.replica
-        self.admission: admissions.Admission = spreader.admission
-        self.members: membership.Members = spreader.members
+        self.replicator = replicator
+        self.replica: replicas.Replica = replicator.replica
+        self.admission: admissions.Admission = replicator.admission
+        self.members: membership.Members = replicator.members
         self.clock = clock
 
     async def propose(self, proposal: Proposal) -> Accepted:
@@ -108,7 +110,7 @@
                 ``STORE_UNAVAILABLE`` or ``CONFIGURATION_UNDECIDED``.
         """
         change = await self._decide(proposal)
-        reached = await self.spreader.push()
+        reached = await self.replicator.push()
         self._log_accepted(change)
         await self._compact()
         return self._accepted(reached, proposal.without_majority)
@@ -127,7 +129,7 @@
 
     async def _read_store(self) -> None:
         try:
-            await self.spreader.read_store()
+            await self.replicator.read_store()
         except calls.PlatformError as e:
             raise errors.ServiceError(
                 errors.ResultCode.STORE_UNAVAILABLE,
@@ -191,7 +193,7 @@
 
     async def _append(self, change: changes.Change) -> bool:
         try:
-            return await self.spreader.log.append(change)
+            return await self.replicator.log.append(change)
         except calls.PlatformError as e:
             raise errors.ServiceError(
                 errors.ResultCode.CONFIGURATION_UNDECIDED,
@@ -212,7 +214,7 @@
 
     async def _compact(self) -> None:
         try:
-            await self.spreader.log.compact(
+            await self.replicator.log.compact(
                 self.replica.revision, self.replica.entries
             )
         except calls.PlatformError as e:
@@ -251,7 +253,7 @@
         Raises:
             ServiceError: ``MAJORITY_LOST`` if too few have it.
         """
-        return self._accepted(await self.spreader.push())
+        return self._accepted(await self.replicator.push())
 
     async def withdraw_in_emergency(
         self, key_id: str, operator: str, reason: str
@@ -273,7 +275,7 @@
             operator=operator,
             reason=reason,
         )
-        return self._accepted(await self.spreader.push())
+        return self._accepted(await self.replicator.push())
 
     async def run_upkeep(self) -> None:
         """Enters new nodes, removes lost ones, folds withdrawn keys in.
@@ -282,7 +284,7 @@
         a fleet that starts together does not race for each revision.
         """
         while True:
-            if self.spreader.is_watcher():
+            if self.replicator.is_watcher():
                 await self._propose_upkeep(self._upkeep_entries())
             await self.clock.sleep(UPKEEP_S)
 
@@ -295,7 +297,7 @@
             and member.name not in self.replica.document.nodes
         }
         entries.update({f"nodes/{name}": None for name in self._lost_nodes()})
-        keys = self.spreader.unfolded()
+        keys = self.replicator.unfolded()
         entries.update({f"keys/{key_id}": None for key_id in keys})
         return entries
 
--- a/src/kingcupscale/configuration/spreading.py
+++ b/src/kingcupscale/configuration/replication.py
@@ -28,7 +28,7 @@
 LEAVING_PER_MESSAGE = 32
 
 
-class Spreader:
+class ConfigurationReplicator:
     """Keeps one node's replica current and brings its news to others.
 
     A few watchers in each availability zone read the store; news goes
--- a/src/kingcupscale/node.py
+++ b/src/kingcupscale/node.py
@@ -18,7 +18,7 @@
 from kingcupscale.configuration import keys
 from kingcupscale.configuration import log
 from kingcupscale.configuration import replica
-from kingcupscale.configuration import spreading
+from kingcupscale.configuration import replication
 from kingcupscale.duties import candidates
 from kingcupscale.duties import journal
 from kingcupscale.duties import lease
@@ -156,7 +156,7 @@
             self.clock,
             self.settings.timings.isolation_bound_s,
         )
-        self.spreader = spreading.Spreader(
+        self.replicator = replication.ConfigurationReplicator(
             self.replica,
             self.admission,
             self.members,
@@ -167,7 +167,7 @@
             self.clock,
             self.surroundings.rng,
         )
-        self.editor = editor.Editor(self.spreader, self.clock)
+        self.editor = editor.Editor(self.replicator, self.clock)
 
     def _make_serving(self) -> None:
         http_client = self.surroundings.http_client
@@ -223,7 +223,7 @@
 
     def _make_operating(self) -> None:
         reporter = handover.HandoverReporter(
-            self.spreader, self.pools, self.store, self.clock
+            self.replicator, self.pools, self.store, self.clock
         )
         self.operators = api.OperatorApi(
             self.settings.operators,
@@ -247,15 +247,15 @@
         self.stopped.set()
 
     async def _run_configured(self, nursery: trio.Nursery) -> None:
-        await self.spreader.catch_up()
+        await self.replicator.catch_up()
         events.log(
             events.Event.NODE_STARTED,
             node=self.settings.name,
             incarnation=self.incarnation,
             revision=self.replica.revision,
         )
-        nursery.start_soon(self.spreader.run)
-        nursery.start_soon(self.spreader.run_directory)
+        nursery.start_soon(self.replicator.run)
+        nursery.start_soon(self.replicator.run_directory)
         nursery.start_soon(self.editor.run_upkeep)
         for shard in range(self.settings.usage_shards):
             self._start_usage_duty(shard, nursery)
--- a/src/kingcupscale/operating/handover.py
+++ b/src/kingcupscale/operating/handover.py
@@ -4,7 +4,7 @@
 from kingcupscale import codec
 from kingcupscale.configuration import change as changes
 from kingcupscale.configuration import document
-from kingcupscale.configuration import spreading
+from kingcupscale.configuration import replication
 from kingcupscale.duties import journal as journals
 from kingcupscale.duties import lease as leases
 from kingcupscale.operating import messages
@@ -22,7 +22,7 @@
     """Makes handover reports.
 
     Args:
-        spreader: Knows configuration and members.
+        replicator: Knows configuration and members.
         pools: The services.
         store: The key-value service.
         clock: Tells the time.
@@ -30,14 +30,14 @@
 
     def __init__(
         self,
-        spreader: spreading.Spreader,
+        replicator: replication.ConfigurationReplicator,
         pools: services.Services,
         store: keyvalue.KeyValueStore,
         clock: clocks.Clock,
     ) -> None:
-        self.spreader = spreader
-        self.replica = spreader.replica
-        self.members = spreader.members
+        self.replicator = replicator
+        self.replica = replicator.replica
+        self.members = replicator.members
         self.pools = pools
         self.store = store
         self.clock = clock
@@ -88,7 +88,7 @@
     def _half_done(self) -> list[str]:
         lines = [
             f"key {key_id} is withdrawn in emergency, not in the configuration"
-            for key_id in sorted(self.spreader.unfolded())
+            for key_id in sorted(self.replicator.unfolded())
         ]
         lines += [
             f"backend server {state.name} of {pool.name} is leaving with"
@@ -101,9 +101,9 @@
 
     def _alarms(self) -> list[str]:
         lines = []
-        if not self.spreader.admission.is_confirmed():
+        if not self.replicator.admission.is_confirmed():
             lines.append("the configuration is not confirmed by the store")
-        if not self.spreader.admission.is_open():
+        if not self.replicator.admission.is_open():
             lines.append("this node does not admit requests")
         lines += [
             f"node {m.name} in {m.zone} is"
