--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -80,8 +80,8 @@
     breaks.Break(
         "a withdrawn key stops within seconds",
         "configuration/admission.py",
-        "is_open = self.ready and (self.is_confirmed() or is_held)",
-        "is_open = self.ready",
+        "is_admitting = self.ready and (self.is_confirmed() or is_in_majority)",
+        "is_admitting = self.ready",
         "tests.test_configuration.ClusterTest"
         ".test_node_cut_off_from_store_and_peers_stops_admitting",
     ),
--- a/src/kingcupscale/configuration/admission.py
+++ b/src/kingcupscale/configuration/admission.py
@@ -49,7 +49,7 @@
         self.confirmed_at: float | None = None
         self.contact_at: float | None = None
         self.ready = False
-        self.was_open: bool | None = None
+        self.last_admitting: bool | None = None
 
     def confirm(self, at: float) -> None:
         """Notes that the revision was the newest at a time."""
@@ -58,7 +58,7 @@
         # An old confirmation, heard of in an outage, readies no start.
         self.ready = self.ready or self.is_confirmed()
 
-    def note_contact(self, at: float) -> None:
+    def record_contact(self, at: float) -> None:
         """Notes that a peer asked at a time had nothing newer."""
         self.contact_at = max(at, self.contact_at or at)
 
@@ -99,20 +99,20 @@
             return min(roster) in names
         return 2 * reached > len(roster)
 
-    def is_open(self) -> bool:
+    def is_admitting(self) -> bool:
         """Tells whether the node admits requests."""
-        is_held = self._has_fresh_contact() and self.has_majority()
-        is_open = self.ready and (self.is_confirmed() or is_held)
-        if is_open != self.was_open:
-            self.was_open = is_open
-            self._announce(is_open)
-        return is_open
-
-    def _announce(self, is_open: bool) -> None:
+        is_in_majority = self._has_fresh_contact() and self.has_majority()
+        is_admitting = self.ready and (self.is_confirmed() or is_in_majority)
+        if is_admitting != self.last_admitting:
+            self.last_admitting = is_admitting
+            self._announce(is_admitting)
+        return is_admitting
+
+    def _announce(self, is_admitting: bool) -> None:
         events.log(
             events.Event.ADMISSION_CHANGED,
             node=self.members.me.name,
-            admitting=is_open,
+            admitting=is_admitting,
             revision=self.replica.revision,
         )
 
@@ -122,7 +122,7 @@
         Raises:
             ServiceError: ``NOT_READY`` or ``ISOLATED``.
         """
-        if self.is_open():
+        if self.is_admitting():
             return
         code = (
             errors.ResultCode.ISOLATED
--- a/src/kingcupscale/configuration/replication.py
+++ b/src/kingcupscale/configuration/replication.py
@@ -101,7 +101,7 @@
         is_level = self.replica.revision >= message.revision
         if asked_at is None or not is_level:
             return
-        self.admission.note_contact(asked_at)
+        self.admission.record_contact(asked_at)
         if message.confirmed:
             self.admission.confirm(asked_at - message.confirmed_age_ms / 1000)
 
--- a/src/kingcupscale/fakes/sessions.py
+++ b/src/kingcupscale/fakes/sessions.py
@@ -226,7 +226,7 @@
             if answer.status != 200:
                 lines.append(f"{issued.organisation} is not served in the end")
     for name, running in cluster.nodes.items():
-        if not running.node.admission.is_open():
+        if not running.node.admission.is_admitting():
             lines.append(f"{name} does not admit in the end")
     if not cluster.world.intake.windows():
         lines.append("no usage window was reported")
--- a/src/kingcupscale/node.py
+++ b/src/kingcupscale/node.py
@@ -368,7 +368,7 @@
             self.settings.name,
             self.settings.zone,
             self.incarnation,
-            self.admission.is_open() and not self.caller_api.is_unready,
+            self.admission.is_admitting() and not self.caller_api.is_unready,
             self.caller_api.is_unready,
             self.replica.revision,
             self.admission.confirmed_age_s(),
--- a/src/kingcupscale/operating/handover.py
+++ b/src/kingcupscale/operating/handover.py
@@ -103,7 +103,7 @@
         lines = []
         if not self.replicator.admission.is_confirmed():
             lines.append("the configuration is not confirmed by the store")
-        if not self.replicator.admission.is_open():
+        if not self.replicator.admission.is_admitting():
             lines.append("this node does not admit requests")
         lines += [
             f"node {m.name} in {m.zone} is"
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -245,7 +245,7 @@
             cluster.network.cut_off("node-3")
             await trio.sleep(30)
             states = {
-                name: running.node.admission.is_open()
+                name: running.node.admission.is_admitting()
                 for name, running in cluster.nodes.items()
             }
             self.assertEqual(
@@ -253,7 +253,9 @@
             )
             cluster.network.heal()
             await trio.sleep(20)
-            self.assertTrue(cluster.nodes["node-3"].node.admission.is_open())
+            self.assertTrue(
+                cluster.nodes["node-3"].node.admission.is_admitting()
+            )
 
     @virtual.on_virtual_time
     async def test_store_outage_for_everyone_stops_nobody(self):
@@ -265,7 +267,7 @@
             cluster.network.crash("node-2")
             await trio.sleep(30)
             admission = cluster.nodes["node-2"].node.admission
-            self.assertTrue(admission.is_open())
+            self.assertTrue(admission.is_admitting())
 
     @virtual.on_virtual_time
     async def test_minority_that_reaches_the_store_accepts_no_change(self):
@@ -293,10 +295,10 @@
             cluster.network.cut_off("node-3")
             await trio.sleep(30)
             node = cluster.nodes["node-3"].node
-            self.assertFalse(node.admission.is_open())
+            self.assertFalse(node.admission.is_admitting())
             cluster.network.heal()
             await trio.sleep(30)
-            self.assertTrue(node.admission.is_open())
+            self.assertTrue(node.admission.is_admitting())
             self.assertGreater(node.replica.revision, 0)
 
     @virtual.on_virtual_time
@@ -335,11 +337,11 @@
             for _ in range(100):
                 await trio.sleep(0.1)
                 admission = cluster.nodes["node-5"].node.admission
-                self.assertFalse(admission.is_open())
+                self.assertFalse(admission.is_admitting())
             cluster.network.heal()
             await trio.sleep(30)
             node = cluster.nodes["node-5"].node
-            self.assertTrue(node.admission.is_open())
+            self.assertTrue(node.admission.is_admitting())
             self.assertIn("customer-1-key", node.replica.withdrawn)
 
     @virtual.on_virtual_time
@@ -348,9 +350,9 @@
             cluster.world.store.down = True
             await trio.sleep(20)
             admission = cluster.nodes["node-3"].node.admission
-            self.assertTrue(admission.is_open())
+            self.assertTrue(admission.is_admitting())
             cluster.network.pause("node-3", 20)
             await trio.sleep(20)
-            self.assertFalse(admission.is_open())
+            self.assertFalse(admission.is_admitting())
             await trio.sleep(5)
-            self.assertTrue(admission.is_open())
+            self.assertTrue(admission.is_admitting())
