--- a/src/kingcupscale/configuration/editor.py
+++ b/src/kingcupscale/configuration/editor.py
@@ -19,7 +19,7 @@
 
 SYSTEM_OPERATOR = "system"
 LOST_AFTER_S = 600.0
-UPKEEP_S = 5.0
+MAINTENANCE_INTERVAL_S = 5.0
 RETRY_AFTER_S = 2.0
 ATTEMPTS = 5
 
@@ -123,7 +123,7 @@
             self._check_revision(proposal)
             change = self._make_change(proposal)
             if await self._append(change):
-                self.replica.absorb(changes.Batch(None, [change]))
+                self.replica.apply_batch(changes.Batch(None, [change]))
                 return change
         raise ConflictError(proposal, self.replica.revision, [])
 
@@ -277,7 +277,7 @@
         )
         return self._accepted(await self.replicator.push())
 
-    async def run_upkeep(self) -> None:
+    async def run_maintenance(self) -> None:
         """Enters new nodes, removes lost ones, folds withdrawn keys in.
 
         Only the watchers of a zone do, for all of its nodes at once, so that
@@ -285,10 +285,10 @@
         """
         while True:
             if self.replicator.is_watcher():
-                await self._propose_upkeep(self._upkeep_entries())
-            await self.clock.sleep(UPKEEP_S)
+                await self._propose_maintenance(self._maintenance_entries())
+            await self.clock.sleep(MAINTENANCE_INTERVAL_S)
 
-    def _upkeep_entries(self) -> dict[str, Any]:
+    def _maintenance_entries(self) -> dict[str, Any]:
         zone = self.members.me.zone
         entries: dict[str, Any] = {
             f"nodes/{member.name}": {"zone": zone}
@@ -297,7 +297,7 @@
             and member.name not in self.replica.document.nodes
         }
         entries.update({f"nodes/{name}": None for name in self._lost_nodes()})
-        keys = self.replicator.unfolded()
+        keys = self.replicator.pending_withdrawals()
         entries.update({f"keys/{key_id}": None for key_id in keys})
         return entries
 
@@ -312,7 +312,7 @@
             and now - self.members.changed_at[name] > LOST_AFTER_S
         ]
 
-    async def _propose_upkeep(self, entries: dict[str, Any]) -> None:
+    async def _propose_maintenance(self, entries: dict[str, Any]) -> None:
         if not entries:
             return
         proposal = Proposal(
--- a/src/kingcupscale/configuration/replica.py
+++ b/src/kingcupscale/configuration/replica.py
@@ -37,7 +37,7 @@
         self.leaving: set[str] = set()
         self.listeners: list[Callable[[], None]] = []
 
-    def absorb(self, batch: changes.Batch) -> bool:
+    def apply_batch(self, batch: changes.Batch) -> bool:
         """Moves forward by what a batch brings; never back.
 
         Args:
--- a/src/kingcupscale/configuration/replication.py
+++ b/src/kingcupscale/configuration/replication.py
@@ -78,11 +78,11 @@
         if age_s is not None:
             message.confirmed = True
             message.confirmed_age_ms = round(age_s * 1000) + 1
-        message.withdrawn_keys.extend(sorted(self.unfolded()))
+        message.withdrawn_keys.extend(sorted(self.pending_withdrawals()))
         leaving = sorted(self.replica.leaving)[-LEAVING_PER_MESSAGE:]
         message.leaving_servers.extend(leaving)
 
-    def unfolded(self) -> set[str]:
+    def pending_withdrawals(self) -> set[str]:
         """Returns withdrawn keys that the configuration still has."""
         return self.replica.withdrawn & self.replica.document.keys.keys()
 
@@ -119,12 +119,12 @@
         batch = codec.decode(changes.Batch, message.batch)
         has_keys = self.replica.withdraw(set(message.withdrawn_keys))
         has_leaving = self.replica.mark_leaving(set(message.leaving_servers))
-        return self.replica.absorb(batch) or has_keys or has_leaving
+        return self.replica.apply_batch(batch) or has_keys or has_leaving
 
     def _compose(self, since: int) -> peer_pb2.Changes:
         return peer_pb2.Changes(
             batch=codec.encode(self.replica.batch_since(since)),
-            withdrawn_keys=sorted(self.unfolded()),
+            withdrawn_keys=sorted(self.pending_withdrawals()),
             leaving_servers=sorted(self.replica.leaving),
         )
 
@@ -228,21 +228,21 @@
             reading = await self.log.watch(revision, self.store_version, wait_s)
         else:
             reading = await self.log.read(revision)
-        self.replica.absorb(reading.batch)
+        self.replica.apply_batch(reading.batch)
         if self.replica.revision < reading.revision:
             self.store_version = 0
             return
         self.store_version = reading.version
         self.admission.confirm(asked_at)
 
-    async def run_directory(self) -> None:
+    async def run_vm_list_polling(self) -> None:
         """Reads the VM list while chosen, and spreads who is leaving."""
         while True:
             if self.is_watcher():
-                await self._read_directory()
+                await self._read_vm_list()
             await self.clock.sleep(WATCH_S)
 
-    async def _read_directory(self) -> None:
+    async def _read_vm_list(self) -> None:
         try:
             listed = await self.directory.list()
         except calls.PlatformError:
--- a/src/kingcupscale/node.py
+++ b/src/kingcupscale/node.py
@@ -255,8 +255,8 @@
             revision=self.replica.revision,
         )
         nursery.start_soon(self.replicator.run)
-        nursery.start_soon(self.replicator.run_directory)
-        nursery.start_soon(self.editor.run_upkeep)
+        nursery.start_soon(self.replicator.run_vm_list_polling)
+        nursery.start_soon(self.editor.run_maintenance)
         for shard in range(self.settings.usage_shards):
             self._start_usage_duty(shard, nursery)
         while True:
--- a/src/kingcupscale/operating/handover.py
+++ b/src/kingcupscale/operating/handover.py
@@ -88,7 +88,7 @@
     def _half_done(self) -> list[str]:
         lines = [
             f"key {key_id} is withdrawn in emergency, not in the configuration"
-            for key_id in sorted(self.replicator.unfolded())
+            for key_id in sorted(self.replicator.pending_withdrawals())
         ]
         lines += [
             f"backend server {state.name} of {pool.name} is leaving with"
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -130,21 +130,23 @@
         replica = replicas.Replica("node")
         for revision in (1, 2, 3):
             entries = {f"organisations/o{revision}": {"label": "o"}}
-            replica.absorb(
+            replica.apply_batch(
                 changes.Batch(None, [make_change(revision, entries)])
             )
-        self.assertFalse(replica.absorb(batch))
+        self.assertFalse(replica.apply_batch(batch))
         self.assertEqual(replica.revision, 3)
         self.assertEqual(len(replica.document.organisations), 3)
 
     def test_peer_that_is_far_behind_gets_a_snapshot(self):
         replica = replicas.Replica("node")
         for revision in range(1, replicas.RECENT_CHANGES + 10):
-            replica.absorb(changes.Batch(None, [make_change(revision, {})]))
+            replica.apply_batch(
+                changes.Batch(None, [make_change(revision, {})])
+            )
         batch = replica.batch_since(1)
         self.assertEqual(batch.snapshot.revision, replica.revision)
         other = replicas.Replica("other")
-        other.absorb(batch)
+        other.apply_batch(batch)
         self.assertEqual(other.revision, replica.revision)
 
 
