--- a/src/kingcupscale/commands/config.py
+++ b/src/kingcupscale/commands/config.py
@@ -71,7 +71,7 @@
 def run_show(arguments: argparse.Namespace) -> None:
     """Shows the configuration in force."""
     answer = connection.call(
-        arguments, "GET", "/configuration", messages.ConfigurationAnswer
+        arguments, "GET", "/configuration", messages.ConfigurationResponse
     )
     text = orjson.dumps(answer.tables, option=orjson.OPT_INDENT_2).decode()
     print(f"revision {answer.revision}\n{text}")
@@ -84,7 +84,7 @@
         arguments,
         "POST",
         "/configuration/diff",
-        messages.DiffAnswer,
+        messages.DiffResponse,
         messages.DiffRequest(tables),
     )
     print(f"against revision {answer.revision}:")
@@ -100,12 +100,12 @@
         arguments.without_majority,
     )
     accepted = connection.call(
-        arguments, "POST", "/configuration", editor.Accepted, body
+        arguments, "POST", "/configuration", editor.AcceptedChange, body
     )
     print_accepted(accepted)
 
 
-def print_accepted(accepted: editor.Accepted) -> None:
+def print_accepted(accepted: editor.AcceptedChange) -> None:
     """Shows in which revision a change is in force and where."""
     print(
         f"accepted as revision {accepted.revision}, in force on"
--- a/src/kingcupscale/commands/keys.py
+++ b/src/kingcupscale/commands/keys.py
@@ -60,7 +60,7 @@
         arguments.reason,
     )
     accepted = connection.call(
-        arguments, "POST", "/keys/grant", editor.Accepted, body
+        arguments, "POST", "/keys/grant", editor.AcceptedChange, body
     )
     config.print_accepted(accepted)
     print(f"the key, shown only now:\n{key.text}")
@@ -72,7 +72,7 @@
         codec.Name(arguments.key_id), arguments.reason, arguments.emergency
     )
     accepted = connection.call(
-        arguments, "POST", "/keys/withdraw", editor.Accepted, body
+        arguments, "POST", "/keys/withdraw", editor.AcceptedChange, body
     )
     config.print_accepted(accepted)
 
@@ -80,7 +80,7 @@
 def run_list(arguments: argparse.Namespace) -> None:
     """Lists the keys in force."""
     answer = connection.call(
-        arguments, "GET", "/configuration", messages.ConfigurationAnswer
+        arguments, "GET", "/configuration", messages.ConfigurationResponse
     )
     for key_id, key in sorted(answer.tables.get("keys", {}).items()):
         trainer = f" trainer {key['trainer']}" if key.get("trainer") else ""
--- a/src/kingcupscale/commands/operations.py
+++ b/src/kingcupscale/commands/operations.py
@@ -24,7 +24,9 @@
 
 def run_status(arguments: argparse.Namespace) -> None:
     """Shows how a node stands."""
-    status = connection.call(arguments, "GET", "/status", messages.StatusAnswer)
+    status = connection.call(
+        arguments, "GET", "/status", messages.StatusResponse
+    )
     age = status.confirmed_age_s
     confirmed = "never" if age is None else f"{age:.1f} s ago"
     print(f"node {status.node} in {status.zone}, run {status.incarnation}")
@@ -54,7 +56,7 @@
 def run_handover(arguments: argparse.Namespace) -> None:
     """Shows the handover report."""
     report = connection.call(
-        arguments, "GET", "/handover", messages.HandoverAnswer
+        arguments, "GET", "/handover", messages.HandoverResponse
     )
     print(f"handover of {report.at:%Y-%m-%d %H:%M:%S} UTC by {report.node}")
     print(f"in force: revision {report.revision}")
--- a/src/kingcupscale/configuration/editor.py
+++ b/src/kingcupscale/configuration/editor.py
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen
-class Accepted:
+class AcceptedChange:
     """An accepted change.
 
     Attributes:
@@ -101,7 +101,7 @@
         self.members: membership.Members = replicator.members
         self.clock = clock
 
-    async def propose(self, proposal: Proposal) -> Accepted:
+    async def propose(self, proposal: Proposal) -> AcceptedChange:
         """Accepts a change or says why not.
 
         Raises:
@@ -226,7 +226,7 @@
 
     def _accepted(
         self, reached: list[str], without_majority: bool = False
-    ) -> Accepted:
+    ) -> AcceptedChange:
         """Returns the answer to a change that members have confirmed.
 
         Raises:
@@ -245,9 +245,11 @@
                 RETRY_AFTER_S,
             )
         pending = {m.name for m in self.members.alive()} - set(reached)
-        return Accepted(self.replica.revision, sorted(reached), sorted(pending))
+        return AcceptedChange(
+            self.replica.revision, sorted(reached), sorted(pending)
+        )
 
-    async def confirm(self) -> Accepted:
+    async def confirm(self) -> AcceptedChange:
         """Brings the newest revision to every member and tells who has it.
 
         Raises:
@@ -257,7 +259,7 @@
 
     async def withdraw_in_emergency(
         self, key_id: str, operator: str, reason: str
-    ) -> Accepted:
+    ) -> AcceptedChange:
         """Withdraws a key without the store.
 
         The answer names the nodes that have confirmed it; on the others the
--- a/src/kingcupscale/fakes/callers.py
+++ b/src/kingcupscale/fakes/callers.py
@@ -286,10 +286,10 @@
             self.http_client, self.address, request, OPERATOR_TIMEOUT_S
         )
 
-    async def status(self) -> operating.StatusAnswer:
+    async def status(self) -> operating.StatusResponse:
         """Returns how the node stands, and notes its revision."""
         response = await self.call("GET", "/status")
-        status = codec.decode(operating.StatusAnswer, response.body)
+        status = codec.decode(operating.StatusResponse, response.body)
         if status.admitting:
             self.record.readings.append(
                 judge.RevisionReading(
@@ -323,7 +323,7 @@
 
     def _note(self, response: message.Response) -> message.Response:
         if response.status == 200:
-            accepted = codec.decode(editors.Accepted, response.body)
+            accepted = codec.decode(editors.AcceptedChange, response.body)
             now = self.clock.monotonic()
             self.record.accepted.setdefault(accepted.revision, now)
         return response
--- a/src/kingcupscale/node.py
+++ b/src/kingcupscale/node.py
@@ -361,10 +361,10 @@
                     reason=e.reason,
                 )
 
-    def read_status(self) -> messages.StatusAnswer:
+    def read_status(self) -> messages.StatusResponse:
         """Returns how the node stands."""
         now = self.clock.monotonic()
-        return messages.StatusAnswer(
+        return messages.StatusResponse(
             self.settings.name,
             self.settings.zone,
             self.incarnation,
--- a/src/kingcupscale/operating/api.py
+++ b/src/kingcupscale/operating/api.py
@@ -36,7 +36,7 @@
         operators: dict[codec.Name, node_settings.OperatorKey],
         editor: editors.Editor,
         reporter: handover.HandoverReporter,
-        read_status: Callable[[], messages.StatusAnswer],
+        read_status: Callable[[], messages.StatusResponse],
         drain: Callable[[], None],
     ) -> None:
         self.operators = operators
@@ -93,7 +93,7 @@
             for path, entry in self.replica.entries.items()
         }
         return message.json_response(
-            messages.ConfigurationAnswer(
+            messages.ConfigurationResponse(
                 self.replica.revision, document.unflatten(entries)
             )
         )
@@ -149,7 +149,7 @@
         body = request.parse(messages.DiffRequest)
         lines = changes.describe(self._difference(body.tables))
         return message.json_response(
-            messages.DiffAnswer(self.replica.revision, lines)
+            messages.DiffResponse(self.replica.revision, lines)
         )
 
     async def _grant(
--- a/src/kingcupscale/operating/handover.py
+++ b/src/kingcupscale/operating/handover.py
@@ -42,7 +42,7 @@
         self.store = store
         self.clock = clock
 
-    async def report(self) -> messages.HandoverAnswer:
+    async def report(self) -> messages.HandoverResponse:
         """Returns the report; what cannot be read is among the alarms."""
         alarms = self._alarms()
         half_done = self._half_done()
@@ -57,7 +57,7 @@
                 f"the key-value service cannot be reached ({e.reason});"
                 " orders, leases and usage are not shown"
             )
-        return messages.HandoverAnswer(
+        return messages.HandoverResponse(
             self.clock.now(),
             self.members.me.name,
             self.replica.revision,
--- a/src/kingcupscale/operating/messages.py
+++ b/src/kingcupscale/operating/messages.py
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen
-class DiffAnswer:
+class DiffResponse:
     """What would change, a line an entry."""
 
     revision: int
@@ -72,7 +72,7 @@
 
 
 @attrs.frozen
-class ConfigurationAnswer:
+class ConfigurationResponse:
     """The configuration in force, keys without salt and digest."""
 
     revision: int
@@ -99,7 +99,7 @@
 
 
 @attrs.frozen
-class StatusAnswer:
+class StatusResponse:
     """How one node stands.
 
     Attributes:
@@ -146,7 +146,7 @@
 
 
 @attrs.frozen
-class HandoverAnswer:
+class HandoverResponse:
     """What the pair that leaves gives to the next.
 
     Attributes:
