--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -356,7 +356,7 @@
     ),
     Break(
         "a planned stop hands over the last of all texts",
-        "leading.py",
+        "leadership.py",
         "            await self.replicator.hand_over()\n"
         "        self.coordinator.set_active(self.model, False)\n",
         "            self.coordinator.set_active(self.model, False)\n"
@@ -365,7 +365,7 @@
     ),
     Break(
         "samples go on at once when their node is stopped",
-        "leading.py",
+        "leadership.py",
         "if holder == self.takeover_source and now < self.takeover_until:",
         "if False:",
         SITE + "test_lifecycle.RollingStopTest",
@@ -456,7 +456,7 @@
     ),
     Break(
         "a lost node's samples go on soon",
-        "leading.py",
+        "leadership.py",
         "if self._is_overdue(holder):",
         "if False:",
         SITE + "test_lifecycle.LostHolderTest",
--- a/src/kingcupscale/candidates.py
+++ b/src/kingcupscale/candidates.py
@@ -57,7 +57,7 @@
         return self.rankings[duty]
 
     def idle_ranking(self, duty: str) -> list[str]:
-        """Returns the candidates with nodes that hold another duty last."""
+        """Returns the candidates, with holders of other duties at the end."""
         if duty not in self.idle_rankings:
             busy = {
                 node for held, node in self.holders().items() if held != duty
--- a/src/kingcupscale/clusterstate.py
+++ b/src/kingcupscale/clusterstate.py
@@ -16,13 +16,13 @@
 
     It applies entries from the store as they change. An entry that cannot be
     decoded is logged and ignored. A configuration or a target version older
-    than the present one is ignored too.
+    than the current one is ignored too.
 
     Args:
         mirror: The local mirror of the store.
         servers: Receives the backend servers' entries.
         keys: Keys and key prefixes of the entries.
-        decoders: Decode the entries' values.
+        decoders: Functions that decode the entries' values.
 
     Attributes:
         catalogue: The configuration in force; None before the first.
--- a/src/kingcupscale/dependencies.py
+++ b/src/kingcupscale/dependencies.py
@@ -1,4 +1,4 @@
-"""The external dependencies that are injected into a node."""
+"""Declares the external dependencies that are injected into a node."""
 
 from collections.abc import Callable
 import random
@@ -67,14 +67,14 @@
         intake: Receives usage reports.
         provider: Receives orders for servers.
         clock: Source of time.
-        rng: Breaks ties at random.
+        rng: Source of random choices and jitter.
         relay: Reads changes of the store from other nodes.
         commits: Writes to the store through other nodes.
         copies: Sends copies of unfinished texts to other nodes.
         loads: Sends the state of engines' weight loads to other nodes.
         counts: Sends usage counts to the node that reports usage.
         keys: Keys of the platform's entries in the store.
-        decoders: Decode these entries.
+        decoders: Decode and encode these entries.
     """
 
     store: stores.Store
--- a/src/kingcupscale/errors.py
+++ b/src/kingcupscale/errors.py
@@ -31,7 +31,7 @@
     KEY_MISSING = (1101, 401, "The route needs a bearer key.")
     KEY_REFUSED = (1102, 401, "The key is unknown or withdrawn.")
     KEY_WITHDRAWN = (1103, 401, "The key was withdrawn during the request.")
-    KEY_EXPOSED = (1104, 400, "The path or the body contains the key.")
+    KEY_EXPOSED = (1104, 400, "The URL, a header or the body contains the key.")
     FORBIDDEN = (1105, 403, "The key does not give access to this.")
     STREAMS_EXCEEDED = (1201, 429, "The organisation has too many streams.")
     QUEUE_FULL = (1202, 503, "The queue of the class is full.")
--- a/src/kingcupscale/leading.py
+++ b/src/kingcupscale/leadership.py
@@ -240,9 +240,9 @@
         self.last_copy_at = self.runtime.clock.monotonic()
 
     def _is_overdue(self, holder: str) -> bool:
-        """Returns whether to probe the holder, whose copies have stopped.
+        """Returns whether to probe the holder because its copies have stopped.
 
-        It sends copies only while batches of the model are open.
+        A holder sends copies only while batches of the model are open.
         """
         now = self.runtime.clock.monotonic()
         if (
@@ -258,7 +258,7 @@
     def _find_successor(self) -> tuple[str, str] | None:
         """Returns name and address of the node to run the samples next.
 
-        None if there is no other node.
+        None if no other node can be reached.
         """
         peers = self.runtime.peers
         holder = peers.holder(self.lock.name)
@@ -282,8 +282,9 @@
     def _rank(self) -> int:
         """Returns this node's position among the candidates.
 
-        The node that runs the samples is preferred, then, in a small fleet,
-        the service's leader, then nodes without another duty.
+        The node that runs the samples comes first. In a small fleet the
+        service's leader does too; in a large one, holders of other duties come
+        last.
         """
         if self.coordinator.is_active(self.model):
             return 0
@@ -292,7 +293,11 @@
         return 1 + self.runtime.candidates.position(self._ranking())
 
     def _ranking(self) -> list[str]:
-        """Returns the candidates, the preferred one first."""
+        """Returns the candidates, best first.
+
+        In a small fleet they are ranked for the service, so that the same node
+        is the best candidate for all of its duties.
+        """
         if is_small_fleet(self.runtime):
             return self.runtime.candidates.ranking(self.service)
         return self.runtime.candidates.idle_ranking(self.lock.name)
@@ -333,9 +338,9 @@
             )
 
     async def _monitor_holder(self) -> None:
-        """Runs samples while holding the duty, or when its holder has failed.
+        """Runs the samples while holding the duty or in place of its holder.
 
-        A planned stop hands the samples over; this node then starts no others.
+        Ends when a planned stop begins, which hands the samples over.
         """
         while not self.runtime.is_draining:
             holder = self.runtime.peers.holder(self.lock.name)
@@ -351,7 +356,7 @@
             await self.runtime.clock.rest(HOLDER_CHECK_INTERVAL_S)
 
     async def _start_or_stop(self, holder: str) -> None:
-        """Runs the samples if the holder cannot, and stops them otherwise."""
+        """Runs the samples in place of the holder, or hands them back to it."""
         if self._should_run_for(holder):
             self.coordinator.set_active(self.model, True)
         elif self.coordinator.is_active(self.model):
--- a/src/kingcupscale/platform/documents.py
+++ b/src/kingcupscale/platform/documents.py
@@ -176,7 +176,7 @@
         document = orjson.loads(value)
         return str(document["model"]), int(document["version"])
     except (KeyError, TypeError) as e:
-        raise ValueError(f"named version: {e!r}") from e
+        raise ValueError(f"target version: {e!r}") from e
 
 
 def encode_retirement_state(state: str) -> bytes:
@@ -233,7 +233,7 @@
 
 
 def _headers(fields: dict[str, Any]) -> dict[str, str]:
-    """Returns an item's headers without those that only nodes may set."""
+    """Returns the headers that a sender may set for an item."""
     headers = {}
     for name, value in fields.items():
         if not isinstance(value, str) or not _HEADER_VALUE.fullmatch(value):
--- a/src/kingcupscale/platform/process.py
+++ b/src/kingcupscale/platform/process.py
@@ -78,7 +78,7 @@
         settings: The node's settings.
         clients: Its HTTP clients.
         clock: Source of time.
-        rng: Breaks ties at random.
+        rng: Source of random choices and jitter.
     """
     client = cloud.PlatformCloud(clients.cloud, settings.cloud)
     return runtimes.Runtime(
--- a/src/kingcupscale/platform/store.py
+++ b/src/kingcupscale/platform/store.py
@@ -136,8 +136,8 @@
 def _expect_ok(status: int, fields: dict[str, Any]) -> dict[str, Any]:
     if status == 200:
         return fields
-    # After 429, 503 or another status below 500 nothing was executed. After
-    # other statuses from 500 on the outcome is unknown.
+    # Nothing was executed after a status below 500, such as 429, or after 503.
+    # After any other status the outcome is unknown.
     raise stores.StoreError(f"status {status}", 500 <= status != 503)
 
 
--- a/src/kingcupscale/readiness.py
+++ b/src/kingcupscale/readiness.py
@@ -20,6 +20,8 @@
 class Readiness:
     """Checks whether a node accepts requests and may refuse any.
 
+    It may refuse one by its configuration only while that is recent.
+
     Args:
         mirror: The local mirror of the store.
         others: The other nodes.
@@ -69,11 +71,11 @@
         )
 
     def is_isolated(self) -> bool:
-        """Returns whether this node might still accept a withdrawn key.
+        """Returns whether the node has reached no store or node for too long.
 
-        That is so if it has reached neither the store nor another node for too
-        long. While no node at all reaches the store, no key is withdrawn, but
-        a node needs contact with other nodes to know that.
+        It might then still accept a key that has been withdrawn. While no node
+        at all reaches the store, no key is withdrawn, but a node that reaches
+        no other node cannot know that.
         """
         in_force_s = self.bounds.apply_s + self.bounds.apply_stretch_s
         if self.mirror.essential_age_s() <= in_force_s:
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -10,7 +10,7 @@
 from kingcupscale import dependencies
 from kingcupscale import deployment
 from kingcupscale import events
-from kingcupscale import leading
+from kingcupscale import leadership
 from kingcupscale import metrics
 from kingcupscale import readiness
 from kingcupscale import retirements
@@ -45,9 +45,11 @@
 # Long-polling another node is cheap, so a node with waiting readers or running
 # samples pauses only this long.
 ACTIVE_POLL_INTERVAL_S = 0.02
-ELECTION_INTERVAL_S = 0.2
+# Interval at which the configuration is checked for new services and models.
+DUTY_START_INTERVAL_S = 0.2
 # Lease length as a share of ``lease_s``, the time within which a duty must not
-# have two holders. A shorter lease is taken over sooner.
+# alternate between holders. After a crash, another node takes over sooner if
+# the lease is shorter.
 LEASE_SHARE = 0.7
 # The entry of a node without duties may outlive the node by this many leases,
 # because other nodes notice sooner that it no longer answers.
@@ -92,8 +94,8 @@
         self.is_draining = False
         self.drain_requested = trio.Event()
         self.stopped = trio.Event()
-        self.services: dict[str, leading.ServiceDuty] = {}
-        self.models: dict[str, leading.ModelDuty] = {}
+        self.services: dict[str, leadership.ServiceDuty] = {}
+        self.models: dict[str, leadership.ModelDuty] = {}
         self._make_storage()
         self._make_serving()
 
@@ -228,7 +230,7 @@
         duty = self.services.get(copy.service)
         is_in_sync = duty is None or duty.coordinator.apply_copy(copy)
         model = self.models.get(
-            leading.model_duty_name(copy.service, copy.model)
+            leadership.model_duty_name(copy.service, copy.model)
         )
         if model is not None:
             model.record_copy(copy.sender)
@@ -299,7 +301,7 @@
         """Returns the store's changes from another node, or None.
 
         They come from a leader, or from any node while the store does not
-        answer. A leader reads the store itself while that answers.
+        answer. As long as it does, a leader gets None and reads it itself.
         """
         if self.is_leader() and not self.mirror.is_unreachable:
             return None
@@ -316,7 +318,7 @@
         nodes = self.peers.leaders()
         model = self.batch_cache.model_of(batch_id)
         for service in self.services if model else []:
-            duty = leading.model_duty_name(service, model or "")
+            duty = leadership.model_duty_name(service, model or "")
             nodes.append(self.peers.holder(duty))
         others = [n for n in dict.fromkeys(nodes) if n != self.settings.node]
         return await self.peers.fetch_copy(batch_id, others)
@@ -324,7 +326,7 @@
     async def _update_interest(self) -> None:
         """Keeps the set of batches up to date that this node's duties need."""
         while True:
-            everything = self.is_leader() or leading.is_small_fleet(self)
+            everything = self.is_leader() or leadership.is_small_fleet(self)
             models = {
                 duty.model
                 for duty in self.models.values()
@@ -398,7 +400,7 @@
             await self.clock.rest(SWEEP_INTERVAL_S)
 
     async def _start_duties(self) -> None:
-        """Campaigns for the duties of services with engines, and of models."""
+        """Starts the duties of services with engines and of their models."""
         async with trio.open_nursery() as nursery:
             while True:
                 configured = self.current_catalogue()
@@ -407,18 +409,18 @@
                 ):
                     if service.slots:
                         self._start_service(name, service.models, nursery)
-                await self.clock.rest(ELECTION_INTERVAL_S)
+                await self.clock.rest(DUTY_START_INTERVAL_S)
 
     def _start_service(
         self, service: str, models: Iterable[str], nursery: trio.Nursery
     ) -> None:
         if service not in self.services:
-            self.services[service] = leading.ServiceDuty(self, service)
+            self.services[service] = leadership.ServiceDuty(self, service)
             nursery.start_soon(self.services[service].run)
         for model in models:
-            duty = leading.model_duty_name(service, model)
+            duty = leadership.model_duty_name(service, model)
             if duty not in self.models:
-                self.models[duty] = leading.ModelDuty(
+                self.models[duty] = leadership.ModelDuty(
                     self, self.services[service], model
                 )
                 nursery.start_soon(self.models[duty].run)
@@ -443,7 +445,7 @@
         await locks.run_while_held(
             self.reporter.duty_lock,
             self._run_usage_duty,
-            lambda: leading.rank(self, windows.DUTY),
+            lambda: leadership.rank(self, windows.DUTY),
             USAGE_INTERVAL_S,
         )
 
--- a/tests/platform/harness.py
+++ b/tests/platform/harness.py
@@ -313,5 +313,5 @@
 
 
 def text_of(length):
-    """Returns the complete text of a server's stream of so many events."""
+    """Returns the complete text of a server's stream with ``length`` events."""
     return "\n".join(f"t{number}" for number in range(1, length + 1))
--- a/tests/platform/test_configurations.py
+++ b/tests/platform/test_configurations.py
@@ -321,16 +321,16 @@
     )
     @virtual.on_virtual_time
     async def test_listeners_apply_configured_limits(
-        self, _, written, body, head, head_s, idle
+        self, _, configured, body_bytes, header_bytes, header_s, idle_s
     ):
         async with harness.launch(nodes=2) as site:
             configuration = harness.make_configuration(version=5)
-            configuration["limits"] = written
+            configuration["limits"] = configured
             site.write_configuration(configuration)
             await trio.sleep(1)
             for node in site.nodes:
                 allowed = node.runtime.current_limits()
-                self.assertEqual(allowed.body_bytes, body)
-                self.assertEqual(allowed.header_bytes, head)
-                self.assertEqual(allowed.header_timeout_s, head_s)
-                self.assertEqual(allowed.idle_s, idle)
+                self.assertEqual(allowed.body_bytes, body_bytes)
+                self.assertEqual(allowed.header_bytes, header_bytes)
+                self.assertEqual(allowed.header_timeout_s, header_s)
+                self.assertEqual(allowed.idle_s, idle_s)
--- a/tests/platform/test_distribution.py
+++ b/tests/platform/test_distribution.py
@@ -5,7 +5,7 @@
 import parameterized
 import trio
 
-from kingcupscale import leading
+from kingcupscale import leadership
 from kingcupscale.storage import locks
 from tests import virtual
 from tests.platform import fakeservers
@@ -13,8 +13,8 @@
 
 MODELS = (harness.MODEL, "beta")
 DUTIES = ("engines", *(f"engines/{model}" for model in MODELS))
-FEW = leading.MIN_NODES_TO_DISTRIBUTE - 1
-MANY = leading.MIN_NODES_TO_DISTRIBUTE + 1
+FEW = leadership.MIN_NODES_TO_DISTRIBUTE - 1
+MANY = leadership.MIN_NODES_TO_DISTRIBUTE + 1
 # Time after the last node's start within which the duties are distributed.
 DISTRIBUTION_S = 4.0
 
@@ -53,7 +53,7 @@
 
 
 class StartTest(unittest.TestCase):
-    """Few nodes hold all duties after the nodes of a fleet start in turn.
+    """Guards against few nodes keeping all duties when a fleet starts in turn.
 
     The nodes that start first see a small fleet and take all duties.
     """
@@ -117,9 +117,10 @@
 
 
 class RestartTest(unittest.TestCase):
-    """Few nodes hold all duties after all nodes crash and restart.
+    """Guards against few nodes keeping all duties when a fleet restarts.
 
-    The entries of the crashed nodes may still exist when the nodes return.
+    All nodes crash and return within seconds, when the entries of the crashed
+    nodes may still exist.
     """
 
     @parameterized.parameterized.expand(
@@ -176,7 +177,7 @@
 
 
 class TakeoverTest(unittest.TestCase):
-    """A node takes several duties after holders of duties have crashed."""
+    """Guards against a node keeping several duties after holders crash."""
 
     @parameterized.parameterized.expand(
         [
@@ -207,7 +208,7 @@
 
 
 class TransferTest(unittest.TestCase):
-    """Samples start again from the beginning when a growing fleet moves them.
+    """Guards against samples that start over when a growing fleet moves them.
 
     A single node runs them until other nodes start and take duties from it.
     """
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -25,8 +25,8 @@
 class ItemTest(unittest.TestCase):
     @parameterized.parameterized.expand(
         [
-            ("own", names.ORGANISATION, False),
-            ("own_in_capitals", names.ORGANISATION.upper(), False),
+            ("organisation", names.ORGANISATION, False),
+            ("organisation_in_capitals", names.ORGANISATION.upper(), False),
             ("key", names.KEY, False),
             ("resumption", names.RESUME_AFTER, False),
             ("connection", "Transfer-Encoding", False),
--- a/tests/platform/test_lifecycle.py
+++ b/tests/platform/test_lifecycle.py
@@ -97,10 +97,10 @@
 
 
 class RollingStopTest(unittest.TestCase):
-    """Samples pause for long when the node that runs them is stopped.
+    """Guards against a long pause of samples when their node is stopped.
 
-    This happens in a rolling restart, if the next node starts the samples only
-    after the lease of the stopped node has ended.
+    In a rolling restart, where all nodes stop and start in turn, samples would
+    pause if the next node waited for the end of the stopped node's lease.
     """
 
     @parameterized.parameterized.expand(
@@ -111,14 +111,14 @@
         ]
     )
     @virtual.on_virtual_time
-    async def test_samples_resume_at_once_elsewhere(self, _, nodes, lag_s):
+    async def test_samples_resume_at_once_elsewhere(self, _, nodes, latency_s):
         async with harness.launch(nodes=nodes) as site:
             holder = site.holder(f"engines/{harness.MODEL}")
             for server in site.servers.values():
                 server.length = 400
             await site.submit(site.other(holder), items=6)
             await trio.sleep(2)
-            site.store.latency_s = lag_s
+            site.store.latency_s = latency_s
             holder.runtime.drain_requested.set()
             stopped_at = trio.current_time()
             await trio.sleep(4)
@@ -129,10 +129,10 @@
 
 
 class LostHolderTest(unittest.TestCase):
-    """Samples pause for long, or run twice, when their node seems to fail.
+    """Guards against samples that pause or run twice after a node's failure.
 
     After a crash another node must continue them before the lease ends. A node
-    that is alive must keep them, although its copies are lost or it was slow.
+    that is alive must keep them, even if its copies are lost or it was slow.
     """
 
     @parameterized.parameterized.expand([("few_nodes", 3), ("many_nodes", 12)])
--- a/tests/platform/test_schedules.py
+++ b/tests/platform/test_schedules.py
@@ -6,7 +6,7 @@
 import parameterized
 import trio
 
-from kingcupscale import leading
+from kingcupscale import leadership
 from kingcupscale.platform import names
 from tests import virtual
 from tests.platform import harness
@@ -176,7 +176,7 @@
             (f"{kind}_{seed}", nodes, seed)
             for kind, nodes in (
                 ("small", 3),
-                ("spread", leading.MIN_NODES_TO_DISTRIBUTE + 1),
+                ("large", leadership.MIN_NODES_TO_DISTRIBUTE + 1),
             )
             for seed in range(1, 9)
         ]
