--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -192,8 +192,8 @@
     Break(
         "counts reach the next node that reports",
         "usage/windows.py",
-        "is_whole and self.flushed_to[window] in (IN_STORE, holder)",
-        "is_whole",
+        "is_unchanged and self.flushed_to[window] in (IN_STORE, holder)",
+        "is_unchanged",
         "tests.test_windows",
     ),
     Break(
@@ -293,8 +293,8 @@
     Break(
         "no text is made by weights that are too old",
         "batches/placement.py",
-        "return is_open and version >= batch.minimum_version",
-        "return is_open",
+        "return accepts_samples and version >= batch.minimum_version",
+        "return accepts_samples",
         SITE + "test_versions",
     ),
     Break(
--- a/src/kingcupscale/batches/coordinator.py
+++ b/src/kingcupscale/batches/coordinator.py
@@ -30,17 +30,19 @@
 from kingcupscale.peering import replication
 from kingcupscale.storage import view as views
 
-# Longest pause of the run loop while samples are open, and otherwise. New
-# batches wake the loop; the pause limits the delay of changes that do not.
+# Longest pause of the run loop while batches run on this node, and while none
+# does. New batches wake the loop; the pause limits the delay of changes that
+# do not.
 TICK_S = 0.05
 IDLE_TICK_S = 0.5
 # Pause before a sample runs again after an unexpected internal error.
 ERROR_PAUSE_S = 0.8
-# A copied text replaces a sample's text if it has more than this many events
-# more.
+# A copied text replaces a sample's text only if it is longer by more than this
+# many events.
 MIN_COPY_LEAD_EVENTS = 8
 # Upper limit of the partial texts and of the copied results that are kept for
 # items that this node may run later, and of the groups whose engines are kept.
+# Texts of ended batches are kept too: another batch may have the same items.
 MAX_KEPT_ITEMS = 2000
 
 
@@ -69,6 +71,9 @@
 
     Attributes:
         active_models: Models whose batches this node runs.
+        progress: The batches that run on this node, by id.
+        prompt_holders: Ids of the engines whose prefix cache holds a group's
+            prompt, by group.
         partial_texts: Events of texts that a run can resume, by item: from
             other nodes' copies, and of batches that this node has released.
         copied_results: Results from other nodes' copies, by batch and item.
@@ -133,9 +138,10 @@
         )
 
     def unsaved_samples(self, model: str) -> list[samples.Sample]:
-        """Returns a model's samples whose progress only this node has.
+        """Returns a model's samples whose progress is not in the store.
 
-        They have a text or a result, but no result in the store.
+        They have a text or a result on this node, but no result in the store,
+        so their progress is lost with this node unless another one has a copy.
         """
         return [
             sample
@@ -146,7 +152,10 @@
         ]
 
     def _samples_to_write(self) -> list[samples.Sample]:
-        """Returns samples that may have a result that is not yet written."""
+        """Returns the samples whose results may still have to be written.
+
+        Forgets released samples that no longer need it.
+        """
         self.released_samples = [
             sample
             for sample in self.released_samples
@@ -161,12 +170,12 @@
         Returns:
             Whether each of the texts continues the text that is known here.
         """
-        fits = True
+        all_continue = True
         open_samples = {sample.id: sample for sample in self.open_samples()}
         for text in copy.texts:
             known = self.partial_texts.get(text.item, [])
             if not text.continues(known):
-                fits = False
+                all_continue = False
                 continue
             if text.events and text.events[0].number == 1:
                 known = []
@@ -176,8 +185,8 @@
             sample = open_samples.get(text.item)
             if sample is not None:
                 self._apply_copied_progress(sample)
-        self._evict_copies()
-        return fits
+        self._evict_oldest()
+        return all_continue
 
     def _apply_copied_progress(self, sample: samples.Sample) -> None:
         """Applies a copied result or a longer copied text to a sample."""
@@ -197,8 +206,8 @@
             sample.run_scope.cancel()
             sample.events = list(text)
 
-    def _evict_copies(self) -> None:
-        """Removes the oldest copies above the limit."""
+    def _evict_oldest(self) -> None:
+        """Removes the oldest texts and copied results above the limit."""
         for kept in (self.partial_texts, self.copied_results):
             while len(kept) > MAX_KEPT_ITEMS:
                 del kept[next(iter(kept))]
@@ -250,8 +259,9 @@
     def _update_records(self) -> None:
         """Replaces the records of batches that the cache has loaded again.
 
-        The cache may evict a batch that runs here until its interest in the
-        batch's model is set. After that, only the new record is updated.
+        The cache may evict a batch that runs here, until the cache's interest
+        includes the batch's model. If it loads the batch again, it updates only
+        the new record. A batch that ended while evicted is marked as ended.
         """
         for batch_id, progress in self.progress.items():
             cached = self.batch_cache.records.get(batch_id)
@@ -267,7 +277,7 @@
             sample.record = cached or sample.record
 
     def _release_batch(self, progress: Progress) -> None:
-        """Stops running a batch and keeps its texts and results."""
+        """Stops running a batch; keeps its texts, and results if it is open."""
         del self.progress[progress.record.batch.id]
         for sample in progress.samples.values():
             sample.scope.cancel()
@@ -275,7 +285,7 @@
                 self.partial_texts[sample.id] = list(sample.events)
             if sample.result is not None and progress.record.is_open():
                 self.released_samples.append(sample)
-        self._evict_copies()
+        self._evict_oldest()
         events.log(
             events.Event.BATCH_CLOSED,
             batch=progress.record.batch.id,
@@ -305,10 +315,10 @@
         if route is None:
             return
         now = self.clock.monotonic()
-        listed = {result.item for result in record.results}
+        stored = {result.item for result in record.results}
         progress = Progress(record, {})
         for item in record.batch.items:
-            if item.id not in listed:
+            if item.id not in stored:
                 sample = samples.Sample(item, record, route)
                 sample.waiting_since = now
                 sample.events = self.partial_texts.pop(item.id, [])
@@ -330,7 +340,7 @@
     def _find_route(
         self, configured: catalogue.Catalogue, record: records.Record
     ) -> catalogue.Route | None:
-        """Returns a batch's route; None if it leads to another service."""
+        """Returns a batch's route; None if it doesn't lead to this service."""
         for item in record.batch.items[:1]:
             route = configured.find_route(record.batch.host, item.path)
             names = [share.service for share in route.shares] if route else []
