--- a/src/kingcupscale/duties/journal.py
+++ b/src/kingcupscale/duties/journal.py
@@ -14,6 +14,8 @@
 from kingcupscale.providers import keyvalue
 
 PREFIX = "journal/"
+# Number of orders with an outcome that a journal keeps; it keeps all pending
+# orders.
 MAX_SETTLED_ORDERS = 64
 
 
--- a/src/kingcupscale/duties/lease.py
+++ b/src/kingcupscale/duties/lease.py
@@ -70,10 +70,10 @@
 class Lease:
     """A lease as seen by one node, which may hold it or try to acquire it.
 
-    A candidate acquires a lease once it has read the same version of the record
-    for a whole lifetime, measured on its own clock. The holder counts its
-    deadline from before the renewal is sent, so the lease always ends for the
-    holder before a candidate can acquire it.
+    A candidate acquires a released lease at once, and a held one after it has
+    read the same version of the record for a whole lifetime, measured on its
+    own clock. The holder counts its deadline from before the renewal is sent,
+    so the lease always ends for the holder before a candidate can acquire it.
 
     Args:
         store: The key-value service.
@@ -84,7 +84,8 @@
 
     Attributes:
         epoch: Epoch under which this node acquired the lease last; 0 if it has
-            not acquired it or has lost it.
+            not acquired it, has found that another node did, or has released
+            it. It stays when the lease merely expires.
         deadline: Monotonic time when this node's lease ends.
         orders_allowed_from: Monotonic time from which this node may send
             orders.
@@ -165,9 +166,10 @@
             self._set_lost()
 
     def _is_own(self, record: LeaseRecord) -> bool:
-        """Returns whether this run of the node wrote the record.
+        """Returns whether a record of this node has its current epoch.
 
-        Otherwise, an earlier run of the same node wrote it.
+        If not, an earlier run of the node wrote it, or the release of the lease
+        did not reach the store.
         """
         return self.epoch == record.epoch
 
@@ -229,7 +231,7 @@
 
 
 class LeaseManager:
-    """Renews a held lease, and tries to acquire it while a candidate.
+    """Renews a lease while held, and tries to acquire it as a candidate.
 
     Args:
         lease: The lease.
--- a/src/kingcupscale/duties/ordersender.py
+++ b/src/kingcupscale/duties/ordersender.py
@@ -15,6 +15,7 @@
 from kingcupscale.duties import lease as leases
 from kingcupscale.providers import calls
 
+# Raises ``ServiceError`` if the lease does not allow the order now.
 LeaseCheck = Callable[[], None]
 
 
@@ -60,7 +61,8 @@
                 first byte.
 
         Returns:
-            The orders with their resulting state.
+            The orders with their resulting state; orders without an answer are
+            still pending, with the error as their outcome.
         """
         epoch = self.lease.epoch
         orders = [attrs.evolve(order, epoch=epoch) for order in orders]
@@ -72,13 +74,13 @@
             epoch=epoch,
             orders=len(orders),
         )
-        settled: list[journals.JournalOrder] = []
+        results: list[journals.JournalOrder] = []
         async with trio.open_nursery() as nursery:
             for order in orders:
-                nursery.start_soon(self._send, order, send, settled)
-        await self.journal.record_outcomes(settled)
-        self._log_settled(settled)
-        return settled
+                nursery.start_soon(self._send, order, send, results)
+        await self.journal.record_outcomes(results)
+        self._log_results(results)
+        return results
 
     async def mark_failed(self, orders: list[journals.JournalOrder]) -> None:
         """Records the orders that are still pending as failed."""
@@ -94,7 +96,7 @@
         self,
         order: journals.JournalOrder,
         send: Send,
-        settled: list[journals.JournalOrder],
+        results: list[journals.JournalOrder],
     ) -> None:
         def lease_check() -> None:
             self.lease.check_order(order.epoch)
@@ -102,16 +104,16 @@
         try:
             outcome = await send(order, lease_check)
         except (calls.PlatformError, errors.ServiceError) as e:
-            settled.append(attrs.evolve(order, outcome=str(e)))
+            results.append(attrs.evolve(order, outcome=str(e)))
             return
         state = (
             journals.OrderState.DONE
             if outcome.accepted
             else journals.OrderState.FAILED
         )
-        settled.append(attrs.evolve(order, state=state, outcome=outcome.text))
+        results.append(attrs.evolve(order, state=state, outcome=outcome.text))
 
-    def _log_settled(self, orders: list[journals.JournalOrder]) -> None:
+    def _log_results(self, orders: list[journals.JournalOrder]) -> None:
         for order in orders:
             events.log(
                 events.Event.ORDER_SETTLED,
--- a/src/kingcupscale/duties/runner.py
+++ b/src/kingcupscale/duties/runner.py
@@ -34,6 +34,10 @@
         duty: The duty.
         clock: The clock.
         interval_s: Seconds between rounds.
+
+    Attributes:
+        epoch: Epoch of the lease for which the duty took over last; 0 if it has
+            to take over before the next round.
     """
 
     def __init__(
--- a/src/kingcupscale/usage/counter.py
+++ b/src/kingcupscale/usage/counter.py
@@ -7,8 +7,11 @@
 
 import attrs
 
+# Organisation and service class.
 FigureKey = tuple[str, str]
+# Incarnation, organisation and service class.
 CounterKey = tuple[str, str, str]
+# Requests, prompt tokens and generated tokens.
 Totals = tuple[int, int, int]
 
 ZERO_TOTALS: Totals = (0, 0, 0)
@@ -16,12 +19,12 @@
 
 @attrs.frozen
 class Row:
-    """The totals of one organisation and class, counted by one incarnation.
+    """The totals that one incarnation counted for an organisation and class.
 
     Attributes:
         incarnation: ``node/number`` of the run of the node that counted.
         organisation: Label of the organisation.
-        service_class: Name of the class.
+        service_class: Name of the service class.
         totals: Requests, prompt tokens and generated tokens since the start
             of that run.
     """
@@ -33,7 +36,7 @@
 
     @property
     def key(self) -> CounterKey:
-        """The counter key: incarnation, organisation and class."""
+        """The key of the counter that holds these totals."""
         return (self.incarnation, self.organisation, self.service_class)
 
     def to_tuple(self) -> Totals:
--- a/src/kingcupscale/usage/counterreplication.py
+++ b/src/kingcupscale/usage/counterreplication.py
@@ -1,7 +1,7 @@
 """Replicates a node's usage counters, so that a crash does not lose them.
 
 A node regularly sends its counters to two other nodes. A node that reports
-usage fetches the counters of all members and merges them.
+usage fetches the counters of all reachable members and merges them.
 """
 
 from kingcupscale import clock as clocks
@@ -27,7 +27,8 @@
         clock: The clock.
 
     Attributes:
-        known: By member, the totals that this node has sent to it.
+        known: By member, the totals that it has received from this node. After
+            a failed call, the member has no entry and all rows are sent again.
     """
 
     def __init__(
@@ -68,14 +69,14 @@
             await self.clock.sleep(COPY_INTERVAL_S)
 
     async def replicate(self, own_only: bool) -> bool:
-        """Sends both replica holders the rows that they lack.
+        """Sends the replica holders the rows that they lack.
 
         Args:
-            own_only: Send only rows that this node counted itself. A holder
-                that has not received anything yet gets all rows.
+            own_only: Send only rows that this node counted itself. A new
+                holder, or one to which the last call failed, gets all rows.
 
         Returns:
-            Whether at least one holder has received all rows to be sent.
+            Whether at least one holder has received all rows meant for it.
         """
         holders = self.replica_holders()
         names = {member.name for member in holders}
--- a/src/kingcupscale/usage/reporting.py
+++ b/src/kingcupscale/usage/reporting.py
@@ -20,6 +20,7 @@
 from kingcupscale.usage import counterreplication
 
 PREFIX = "usage/"
+# Number of sent windows that stay in a ledger; unsent windows always stay.
 WINDOWS_KEPT = 8
 
 
@@ -44,7 +45,7 @@
     """The stored ledger of one shard.
 
     Attributes:
-        windows: The latest windows, in order.
+        windows: The latest sent windows and all unsent ones, in order.
         reported: The totals covered by all windows so far.
         token: A value unique to this write.
     """
@@ -69,7 +70,7 @@
         lease: The shard's lease.
         store: The key-value service.
         intake: The service that accepts usage reports.
-        replicator: Fetches the counters of all members.
+        replicator: Fetches the counters of all reachable members.
         clock: The clock.
         window_s: Length of a window in seconds.
     """
@@ -138,17 +139,17 @@
 
     def _add_window(self, window: int) -> Ledger:
         reported = _totals_by_key(self.ledger.reported)
-        counted = self._own_totals()
+        counted = self._shard_totals()
         figures = _sum_unreported(reported, counted)
         merged = dict(reported)
         for key, totals in counted.items():
             merged[key] = counter.merge_totals(merged.get(key), totals)
-        rows = [counter.Row(*c, list(t)) for c, t in sorted(merged.items())]
+        rows = [counter.Row(*k, list(t)) for k, t in sorted(merged.items())]
         windows = [*_drop_old(self.ledger.windows)]
         windows.append(Window(window, figures, False))
         return Ledger(windows, rows, keyvalue.new_token())
 
-    def _own_totals(self) -> dict[counter.CounterKey, counter.Totals]:
+    def _shard_totals(self) -> dict[counter.CounterKey, counter.Totals]:
         return {
             key: totals
             for key, totals in self.replicator.counters.totals_by_key.items()
--- a/src/kingcupscale/usage/windows.py
+++ b/src/kingcupscale/usage/windows.py
@@ -1,8 +1,9 @@
 """Counts usage by window of the wall clock, and reports each window once.
 
-Each node counts the requests of its organisations (``WindowCounter``) and sends
-the counts to the node that holds the usage duty. That node adds up the counts
-of all nodes and reports the sums (``WindowReporter``).
+Each node counts the requests that start on it, by organisation
+(``WindowCounter``), and sends the counts to the node that holds the usage duty.
+That node adds up the counts of all nodes and reports the sums
+(``WindowReporter``).
 """
 
 from typing import Protocol
@@ -21,8 +22,9 @@
 FIGURES_PREFIX = "kingcupscale/usage/figures/"
 DUTY = "usage"
 
-# Counts of a window are sent this long after its end: requests that started in
-# it may still be in progress, and the clocks of nodes differ slightly.
+# Counts of a window are sent no earlier than this long after its end: requests
+# that started in it may still be in progress, and the clocks of nodes differ
+# slightly.
 COUNT_DELAY_S = 1.0
 # A window is summed up once this fraction of the time until its report is late
 # has passed, even if the counts of some nodes are missing.
@@ -32,7 +34,9 @@
 RESEND_WAIT_S = 2.0
 # Marks counts in ``WindowCounter.flushed_to`` that were written to the store.
 IN_STORE = "store"
-# Number of most recent windows that are kept and still reported.
+# A window older than this number of windows is no longer reported, and a node
+# drops the counts that it kept to send them again. The figures of a window stay
+# in the store for three times as many windows.
 WINDOWS_KEPT = 12
 
 
@@ -129,14 +133,16 @@
         counts[organisation] = counts.get(organisation, 0) + 1
 
     async def flush(self, is_last: bool = False) -> None:
-        """Sends or writes the counts of ended windows that have changed.
+        """Sends or writes the counts of ended windows, where it is necessary.
 
-        The total count of a window is sent each time, so repeating it is safe,
-        even while another write is in progress.
+        A window is skipped if its counts have not changed since they were
+        written to the store or sent to the current holder. The total count of a
+        window is sent each time, so repeating it is safe, even while another
+        write is in progress.
 
         Args:
-            is_last: Write the counts of all windows to the store, as the node
-                stops.
+            is_last: Write the counts of all windows to the store, also those
+                that were sent to the holder, as the node stops.
 
         Raises:
             StoreError: If the store cannot be reached; the counts are kept.
@@ -260,7 +266,11 @@
             del self.received[window]
 
     def _first_window(self, due: int) -> int:
-        """Returns the oldest window that has counts or figures."""
+        """Returns the oldest window that has counts or figures.
+
+        If no window has any, the result is the one after the newest due
+        window.
+        """
         windows = [
             int(entry.key.removeprefix(prefix).partition("/")[0])
             for prefix in (COUNTS_PREFIX, FIGURES_PREFIX)
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -1,7 +1,8 @@
 """Tests of usage counters, and of reports when nodes or the store fail.
 
-They guard against usage that is lost or reported twice after a crash or a pause
-of the reporting node, or an outage of the store.
+They guard against usage that is lost or reported twice after a node crashes,
+the reporting node is paused, or the store fails. Counts that arrive late must
+be carried forward to a later window.
 """
 
 import unittest
@@ -67,8 +68,8 @@
 class ReportingTest(unittest.TestCase):
     @virtual.on_virtual_time
     async def test_counts_of_a_crashed_node_are_reported(self):
-        size = clusters.ClusterSettings(trainers=0)
-        async with clusters.running(size) as cluster:
+        settings = clusters.ClusterSettings(trainers=0)
+        async with clusters.running(settings) as cluster:
             for number in range(6):
                 await cluster.caller(number % 2).complete()
             await trio.sleep(2)
@@ -79,8 +80,8 @@
 
     @virtual.on_virtual_time
     async def test_crashed_reporter_is_replaced_without_conflict(self):
-        size = clusters.ClusterSettings(trainers=0)
-        async with clusters.running(size) as cluster:
+        settings = clusters.ClusterSettings(trainers=0)
+        async with clusters.running(settings) as cluster:
             for _ in range(3):
                 await cluster.caller(0).complete()
                 await trio.sleep(12)
@@ -95,8 +96,8 @@
 
     @virtual.on_virtual_time
     async def test_outage_delays_reports_and_loses_nothing(self):
-        size = clusters.ClusterSettings(trainers=0)
-        async with clusters.running(size) as cluster:
+        settings = clusters.ClusterSettings(trainers=0)
+        async with clusters.running(settings) as cluster:
             await cluster.caller(0).complete()
             cluster.world.store.down = True
             for _ in range(10):
@@ -111,8 +112,8 @@
 
     @virtual.on_virtual_time
     async def test_paused_reporter_adds_no_window_when_it_resumes(self):
-        size = clusters.ClusterSettings(trainers=0)
-        async with clusters.running(size) as cluster:
+        settings = clusters.ClusterSettings(trainers=0)
+        async with clusters.running(settings) as cluster:
             await cluster.caller(0).complete()
             await trio.sleep(12)
             for name, running in cluster.nodes.items():
