--- a/src/kingcupscale/rollouts/scoring.py
+++ b/src/kingcupscale/rollouts/scoring.py
@@ -9,10 +9,10 @@
 from kingcupscale import errors
 from kingcupscale.configuration import keys
 from kingcupscale.rollouts import messages
-from kingcupscale.serving import plain
+from kingcupscale.serving import plainservices
 from kingcupscale.web import message
 
-PATH = "/score"
+SCORE_PATH = "/score"
 
 
 @attrs.frozen
@@ -42,15 +42,18 @@
     """Scores by a plain service, whose calls may be repeated.
 
     Args:
-        caller: Carries the calls.
+        plain_service_client: Carries the calls.
         service: Name of the scoring service.
         grant: On whose behalf.
     """
 
     def __init__(
-        self, caller: plain.PlainCaller, service: str, grant: keys.Grant
+        self,
+        plain_service_client: plainservices.PlainServiceClient,
+        service: str,
+        grant: keys.Grant,
     ) -> None:
-        self.caller = caller
+        self.plain_service_client = plain_service_client
         self.service = service
         self.grant = grant
 
@@ -61,10 +64,10 @@
             ServiceError: If the service gives none.
         """
         request = message.json_request(
-            PATH, ScoreRequest(prompt, " ".join(sample.tokens))
+            SCORE_PATH, ScoreRequest(prompt, " ".join(sample.tokens))
         )
-        call = plain.Call(self.service, PATH, request, self.grant)
-        response = await self.caller.call(call)
+        call = plainservices.Call(self.service, SCORE_PATH, request, self.grant)
+        response = await self.plain_service_client.call(call)
         try:
             return codec.decode(ScoreAnswer, response.body).score
         except (codec.DecodeError, orjson.JSONDecodeError) as e:
