--- a/bench/filters.py
+++ b/bench/filters.py
@@ -45,7 +45,7 @@
     def _mask(self, text: str) -> int:
         mask = 0
         for index in range(self.hashes):
-            mask |= 1 << (hashing.number(f"{index}/{text}") % self.size)
+            mask |= 1 << (hashing.hash64(f"{index}/{text}") % self.size)
         return mask
 
     def add(self, text: str) -> None:
--- a/src/kingcupscale/batches/maintenance.py
+++ b/src/kingcupscale/batches/maintenance.py
@@ -41,7 +41,7 @@
             if now - self.evicted_at >= EVICTION_INTERVAL_S:
                 self.evicted_at = now
                 self._evict()
-            await self.clock.rest(MAINTENANCE_INTERVAL_S)
+            await self.clock.sleep_aligned(MAINTENANCE_INTERVAL_S)
 
     async def _load_and_refresh(self) -> None:
         """Loads the wanted candidates, then refreshes open batches.
--- a/src/kingcupscale/batches/samplereplication.py
+++ b/src/kingcupscale/batches/samplereplication.py
@@ -63,7 +63,7 @@
     async def run(self) -> None:
         """Replicates at regular intervals until cancelled."""
         while True:
-            await self.clock.rest(REPLICATION_INTERVAL_S)
+            await self.clock.sleep_aligned(REPLICATION_INTERVAL_S)
             await self.send()
 
     async def send(self) -> None:
--- a/src/kingcupscale/capacity/fleetsize.py
+++ b/src/kingcupscale/capacity/autoscaler.py
@@ -31,7 +31,7 @@
 class OrderState(enum.Enum):
     """What became of an order."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     REFUSED = "refused"
 
 
@@ -103,19 +103,19 @@
 
     readings: list[tuple[float, int]] = attrs.field(factory=list)
 
-    def note(self, now: float, samples: int) -> None:
+    def record(self, now: float, samples: int) -> None:
         """Adds a reading and drops old ones."""
         self.readings.append((now, samples))
         oldest = now - MEMORY_S
         self.readings = [r for r in self.readings if r[0] >= oldest]
 
-    def servers(self, slots: int) -> int:
+    def required_servers(self, slots: int) -> int:
         """Returns how many servers the peak asks for."""
         peak = max((samples for _, samples in self.readings), default=0)
         return -(-peak * PEAK_PERCENT // (100 * max(1, slots)))
 
 
-class Sizer:
+class Autoscaler:
     """Keeps a service at the size that its peaks need, while it is ours.
 
     Args:
@@ -147,7 +147,7 @@
         self.not_before: dict[str, float] = {}
         self.initial = 0
 
-    async def step(self) -> None:
+    async def run_once(self) -> None:
         """Orders what is missing."""
         configured = self.catalogue_now()
         service = configured and configured.services.get(self.duty_lock.name)
@@ -159,10 +159,10 @@
             for server in self.servers.list_servers(service.name)
             if server.entry.state is registry.ServerState.READY
         ]
-        self.demand.note(now, self.demand_now())
+        self.demand.record(now, self.demand_now())
         if not self.initial:
             self.initial = len(present)
-        total = max(self.initial, self.demand.servers(service.slots))
+        total = max(self.initial, self.demand.required_servers(service.slots))
         closed = {z for z, until in self.not_before.items() if until > now}
         wanted = wanted_by_zone(service.scaling, total, closed)
         for zone, number in wanted.items():
@@ -188,7 +188,7 @@
                 outcome=str(e),
             )
             return
-        if state is OrderState.TAKEN:
+        if state is OrderState.ACCEPTED:
             self.ordered[order.zone] = order.number
         else:
             self.ordered.pop(order.zone, None)
--- a/src/kingcupscale/capacity/zone.py
+++ b/src/kingcupscale/capacity/zone.py
@@ -1,7 +1,7 @@
 """The duty of one availability zone: its engines' and servers' orders."""
 
 from kingcupscale import events
-from kingcupscale.capacity import ordering
+from kingcupscale.capacity import zonescaler
 from kingcupscale.duties import ordersender
 from kingcupscale.rollouts import activation
 
@@ -19,7 +19,7 @@
         self,
         order_sender: ordersender.OrderSender,
         weights: activation.WeightActivator,
-        servers: ordering.Ordering,
+        servers: zonescaler.ZoneScaler,
     ) -> None:
         self.order_sender = order_sender
         self.weights = weights
@@ -42,7 +42,7 @@
         """Does one round."""
         await self._settle_open()
         await self.weights.run_once()
-        await self.servers.round()
+        await self.servers.run_once()
 
     async def _settle_open(self) -> None:
         """Sends open orders again with the same ids.
@@ -53,7 +53,7 @@
         """
         pending = self.order_sender.journal.pending()
         engines = [o for o in pending if o.kind == activation.ORDER_KIND]
-        others = [o for o in pending if o.kind == ordering.ORDER_KIND]
+        others = [o for o in pending if o.kind == zonescaler.ORDER_KIND]
         if engines:
             settled = await self.order_sender.send_orders(
                 engines, self.weights.send
--- a/src/kingcupscale/capacity/ordering.py
+++ b/src/kingcupscale/capacity/zonescaler.py
@@ -18,7 +18,7 @@
 DRAIN_S = 10.0
 
 
-class Ordering:
+class ZoneScaler:
     """Keeps a zone's ordered servers at what the scaling rule says.
 
     Args:
@@ -48,7 +48,7 @@
         self.rules: dict[str, scaling.ScalingRule] = {}
         self.draining: dict[str, float] = {}
 
-    async def round(self) -> None:
+    async def run_once(self) -> None:
         """Does what is next for every service with servers to order."""
         services_ = self.pools.replica.document.services
         scaled = {n: s for n, s in services_.items() if s.scaling}
--- a/src/kingcupscale/clock.py
+++ b/src/kingcupscale/clock.py
@@ -8,7 +8,7 @@
 import trio
 
 # Tasks that work at a pace wake the process together, this often at most.
-BEAT_S = 0.1
+WAKE_INTERVAL_S = 0.1
 
 
 class Clock(Protocol):
@@ -26,7 +26,7 @@
         """Waits for that many seconds."""
         ...
 
-    async def rest(self, seconds: float) -> None:
+    async def sleep_aligned(self, seconds: float) -> None:
         """Waits about that long, until a beat that all tasks share.
 
         For loops that look after something at a pace: the process wakes once
@@ -54,17 +54,20 @@
         """Waits for that many seconds."""
         await trio.sleep(seconds)
 
-    async def rest(self, seconds: float) -> None:
+    async def sleep_aligned(self, seconds: float) -> None:
         """Waits about that long, until a beat that all tasks share."""
-        await trio.sleep_until(beat_after(trio.current_time(), seconds))
+        await trio.sleep_until(next_wake_time(trio.current_time(), seconds))
 
 
-def beat_after(now: float, seconds: float) -> float:
+def next_wake_time(now: float, seconds: float) -> float:
     """Returns the beat that is nearest to a time ahead, but not past yet.
 
     Args:
         now: Present time in seconds.
         seconds: How far ahead.
     """
-    beat = max(round((now + seconds) / BEAT_S), math.floor(now / BEAT_S) + 1)
-    return beat * BEAT_S
+    beat = max(
+        round((now + seconds) / WAKE_INTERVAL_S),
+        math.floor(now / WAKE_INTERVAL_S) + 1,
+    )
+    return beat * WAKE_INTERVAL_S
--- a/src/kingcupscale/configuration/log.py
+++ b/src/kingcupscale/configuration/log.py
@@ -66,7 +66,7 @@
         return await self._make_reading(answer, since)
 
     async def _make_reading(
-        self, answer: keyvalue.GetAnswer, since: int
+        self, answer: keyvalue.GetResponse, since: int
     ) -> Reading:
         found = [codec.decode(changes.Change, e.value) for e in answer.entries]
         found = [change for change in found if change.revision > since]
--- a/src/kingcupscale/daemon.py
+++ b/src/kingcupscale/daemon.py
@@ -76,14 +76,14 @@
     def _make_node(
         self, service: transport.PeerService, peers: str
     ) -> nodes.Node:
-        surroundings = nodes.Surroundings(
+        dependencies = nodes.Dependencies(
             self.http_client,
             self.peers,
             clocks.SystemClock(),
             random.Random(),
             peers,
         )
-        return nodes.Node(self.settings, surroundings, service)
+        return nodes.Node(self.settings, dependencies, service)
 
     async def _serve(
         self, node: nodes.Node, task_status: trio.TaskStatus[Addresses]
@@ -143,7 +143,7 @@
     signals: AsyncIterator[int], node: nodes.Node
 ) -> None:
     async for _ in signals:
-        node.drain_asked.set()
+        node.drain_requested.set()
 
 
 @contextlib.contextmanager
--- a/src/kingcupscale/dependencies.py
+++ b/src/kingcupscale/dependencies.py
@@ -6,7 +6,7 @@
 import attrs
 
 from kingcupscale import clock as clocks
-from kingcupscale.capacity import fleetsize
+from kingcupscale.capacity import autoscaler
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
@@ -80,7 +80,7 @@
     store: stores.Store
     servers: serverclient.ServerClient
     intake: windows.Intake
-    provider: fleetsize.Provider
+    provider: autoscaler.Provider
     clock: clocks.Clock
     rng: random.Random
     relay: relay.RelayClient
--- a/src/kingcupscale/deployment.py
+++ b/src/kingcupscale/deployment.py
@@ -12,7 +12,7 @@
         drain_s: For which a leaving server goes on serving.
         grace_s: Between a stop's signal and the end of the process.
         apply_s: Within which a configuration is in force.
-        apply_stretch_s: More of it while the store is disturbed.
+        apply_extension_s: More of it while the store is disturbed.
         lease_s: Within which holders of a duty must not take turns.
         window_s: Length of a usage window.
         late_s: After a window's end, when its report is late.
@@ -24,7 +24,7 @@
     drain_s: float = 2.0
     grace_s: float = 8.0
     apply_s: float = 2.0
-    apply_stretch_s: float = 5.0
+    apply_extension_s: float = 5.0
     lease_s: float = 3.0
     window_s: float = 5.0
     late_s: float = 10.0
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen
-class SiteSettings:
+class ProcessSettings:
     """What a process is told of itself and of its surroundings.
 
     Attributes:
@@ -46,7 +46,7 @@
         store: ``host:port`` of the shared store.
         cloud: ``host:port`` of the interface for orders and usage reports.
         seeds: Peers to begin with.
-        least_lease_s: Shortest lease that the store grants.
+        min_lease_s: Shortest lease that the store grants.
         value_bytes: Largest value that the store holds.
         heartbeat_s: Between two entries of a backend server.
         reports_usage: Whether usage reports are wanted.
@@ -63,7 +63,7 @@
     store: str
     cloud: str
     seeds: tuple[str, ...]
-    least_lease_s: float
+    min_lease_s: float
     value_bytes: int
     heartbeat_s: float
     reports_usage: bool
--- a/src/kingcupscale/fakes/capacityprovider.py
+++ b/src/kingcupscale/fakes/capacityprovider.py
@@ -50,7 +50,7 @@
         self.fenced = fenced
         self.orders: list[ReceivedOrder] = []
         self.servers: dict[str, capacityprovider.OrderedServer] = {}
-        self.answers: dict[str, capacityprovider.OrderAnswer] = {}
+        self.answers: dict[str, capacityprovider.OrderResponse] = {}
         self.epochs: dict[str, int] = {}
         self.unavailable: set[str] = set()
         self.routes = httprouter.HttpRouter()
@@ -75,23 +75,23 @@
 
     def _decide(
         self, order: capacityprovider.CapacityOrder
-    ) -> capacityprovider.OrderAnswer:
+    ) -> capacityprovider.OrderResponse:
         newest = max(order.epoch, self.epochs.get(order.zone, 0))
         self.epochs[order.zone] = newest
         if self.fenced and order.epoch < newest:
-            return capacityprovider.OrderAnswer(False, "", "old epoch")
+            return capacityprovider.OrderResponse(False, "", "old epoch")
         if order.order_id not in self.answers:
             self.answers[order.order_id] = self._carry_out(order)
         return self.answers[order.order_id]
 
     def _carry_out(
         self, order: capacityprovider.CapacityOrder
-    ) -> capacityprovider.OrderAnswer:
+    ) -> capacityprovider.OrderResponse:
         if order.action is capacityprovider.Action.STOP:
             self.servers.pop(order.server, None)
-            return capacityprovider.OrderAnswer(True, order.server)
+            return capacityprovider.OrderResponse(True, order.server)
         if order.cheap and order.zone in self.unavailable:
-            return capacityprovider.OrderAnswer(False, "", "none to be had")
+            return capacityprovider.OrderResponse(False, "", "none to be had")
         name = f"{order.service}-ordered-{len(self.answers) + 1}"
         self.servers[name] = capacityprovider.OrderedServer(
             name,
@@ -101,7 +101,7 @@
             order.cheap,
             order.order_id,
         )
-        return capacityprovider.OrderAnswer(True, name)
+        return capacityprovider.OrderResponse(True, name)
 
     def announce_reclaim(self, name: str) -> None:
         """Marks a cheap server as about to go."""
--- a/src/kingcupscale/fakes/cluster.py
+++ b/src/kingcupscale/fakes/cluster.py
@@ -200,14 +200,14 @@
         """Starts or restarts a node."""
         scope = trio.CancelScope()
         service = transport.PeerService()
-        surroundings = nodes.Surroundings(
+        dependencies = nodes.Dependencies(
             networks.MemoryHttpClient(self.network, name),
             networks.MemoryPeerTransport(self.network, name),
             self.clock,
             random.Random(f"{self.size.seed}/{name}"),
             f"{name}:peers",
         )
-        node = nodes.Node(self._make_settings(name), surroundings, service)
+        node = nodes.Node(self._make_settings(name), dependencies, service)
         self.nodes[name] = RunningNode(node, scope)
         self.network.add(name, scope.cancel)
         self._serve(name, "callers", node.caller_api)
--- a/src/kingcupscale/fakes/keyvalue.py
+++ b/src/kingcupscale/fakes/keyvalue.py
@@ -58,7 +58,7 @@
         found = [entry] if entry and not query.prefix else []
         if query.prefix:
             found = list(self._under(query.key, query.after))
-        return message.json_response(keyvalue.GetAnswer(found, self.version))
+        return message.json_response(keyvalue.GetResponse(found, self.version))
 
     async def _put(self, request: message.Request) -> message.Response:
         put = request.parse(keyvalue.PutRequest)
@@ -67,10 +67,10 @@
         present = self.entries.get(put.key)
         version = present.version if present else keyvalue.ABSENT
         if version != put.if_version:
-            answer = keyvalue.PutAnswer(False, version)
+            answer = keyvalue.PutResponse(False, version)
             return message.json_response(answer)
         self._write(put)
-        return message.json_response(keyvalue.PutAnswer(True, self.version))
+        return message.json_response(keyvalue.PutResponse(True, self.version))
 
     def _write(self, put: keyvalue.PutRequest) -> None:
         self.version += 1
@@ -93,7 +93,7 @@
                 await self.changed.wait()
         if self.down:
             raise errors.ServiceError(errors.ResultCode.STORE_UNAVAILABLE)
-        answer = keyvalue.GetAnswer(self._changes(watch), self.version)
+        answer = keyvalue.GetResponse(self._changes(watch), self.version)
         return message.json_response(answer)
 
     def _changes(self, watch: keyvalue.WatchRequest) -> list[keyvalue.Entry]:
--- a/src/kingcupscale/fakes/prefixcache.py
+++ b/src/kingcupscale/fakes/prefixcache.py
@@ -111,4 +111,4 @@
 
 def digest(prompt: str) -> str:
     """Returns the digest under which a prompt's prefix is cached."""
-    return hashing.short(prompt[:PREFIX_CHARACTERS])
+    return hashing.hex64(prompt[:PREFIX_CHARACTERS])
--- a/src/kingcupscale/fakes/service.py
+++ b/src/kingcupscale/fakes/service.py
@@ -89,4 +89,4 @@
 
 def body_digest(body: bytes) -> str:
     """Returns the digest that an answer to this body carries."""
-    return hashing.long(body)
+    return hashing.hex128(body)
--- a/src/kingcupscale/fakes/text.py
+++ b/src/kingcupscale/fakes/text.py
@@ -10,7 +10,7 @@
 ) -> str:
     """Returns the one token that stands at a position."""
     text = f"{adapter}\0{prompt}\0{seed}\0{position}\0{version}"
-    return f"{hashing.number(text) & 0xFFFFFF:06x}"
+    return f"{hashing.hash64(text) & 0xFFFFFF:06x}"
 
 
 def length(prompt: str, seed: int, max_tokens: int) -> int:
@@ -21,6 +21,6 @@
         seed: Chooses the sample.
         max_tokens: The longest allowed.
     """
-    draw = hashing.number(f"{seed}\0{prompt}") % 1000
+    draw = hashing.hash64(f"{seed}\0{prompt}") % 1000
     heavy = 100 if draw >= 990 else 16 if draw >= 900 else 1
     return min(max_tokens, heavy * (SHORTEST_TOKENS + draw % 24))
--- a/src/kingcupscale/fakes/usageintake.py
+++ b/src/kingcupscale/fakes/usageintake.py
@@ -25,7 +25,7 @@
 
     async def _take(self, request: message.Request) -> message.Response:
         self.reports.append(request.parse(usageintake.Report))
-        return message.json_response(usageintake.ReportAnswer(True))
+        return message.json_response(usageintake.ReportResponse(True))
 
     def windows(self) -> set[tuple[str, int]]:
         """Returns (shard, window) of everything reported."""
--- a/src/kingcupscale/fakes/virtualtime.py
+++ b/src/kingcupscale/fakes/virtualtime.py
@@ -44,9 +44,11 @@
         """Waits for that many virtual seconds."""
         await trio.sleep(seconds)
 
-    async def rest(self, seconds: float) -> None:
+    async def sleep_aligned(self, seconds: float) -> None:
         """Waits about that long, until a beat that all tasks share."""
-        await trio.sleep_until(clocks.beat_after(trio.current_time(), seconds))
+        await trio.sleep_until(
+            clocks.next_wake_time(trio.current_time(), seconds)
+        )
 
 
 def run(function: Callable[..., Awaitable[T]], *args: Any, seed: int = 0) -> T:
--- a/src/kingcupscale/hashing.py
+++ b/src/kingcupscale/hashing.py
@@ -3,16 +3,16 @@
 import xxhash
 
 
-def number(text: str) -> int:
+def hash64(text: str) -> int:
     """Returns a digest of 64 bits as a number."""
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
-def short(text: str) -> str:
+def hex64(text: str) -> str:
     """Returns a digest of 64 bits in hexadecimal."""
     return xxhash.xxh3_64_hexdigest(text.encode())
 
 
-def long(data: bytes) -> str:
+def hex128(data: bytes) -> str:
     """Returns a digest of 128 bits in hexadecimal."""
     return xxhash.xxh3_128_hexdigest(data)
--- a/src/kingcupscale/leadership.py
+++ b/src/kingcupscale/leadership.py
@@ -15,7 +15,7 @@
 from kingcupscale.batches import loader as loaders
 from kingcupscale.batches import retention
 from kingcupscale.batches import samplereplication
-from kingcupscale.capacity import fleetsize
+from kingcupscale.capacity import autoscaler
 from kingcupscale.peering import calls
 from kingcupscale.peering import weightloads
 from kingcupscale.storage import locks
@@ -47,7 +47,7 @@
 
     Every node has one per service and campaigns for the duty. It owns the
     service's coordinator, which runs samples. Only the leader uses its loader,
-    which sends load orders to engines, and its sizer, which orders servers.
+    which sends load orders to engines, and its autoscaler, which orders servers.
 
     Args:
         runtime: The node.
@@ -81,7 +81,7 @@
             runtime.current_catalogue,
             self._publish_load_state,
         )
-        self.sizer = fleetsize.Sizer(
+        self.autoscaler = autoscaler.Autoscaler(
             self.lock,
             runtime.server_registry,
             deps.provider,
@@ -102,7 +102,7 @@
             async def work() -> None:
                 await self.loader.step(nursery)
                 if self.runtime.settings.orders_servers:
-                    await self.sizer.step()
+                    await self.autoscaler.run_once()
                 await self._delete_expired_batches()
 
             await locks.run_while_held(
@@ -353,7 +353,7 @@
                     await self.runtime.peers.probe(holder)
                     self.last_probe_at = self.runtime.clock.monotonic()
                 await self._start_or_stop(holder)
-            await self.runtime.clock.rest(HOLDER_CHECK_INTERVAL_S)
+            await self.runtime.clock.sleep_aligned(HOLDER_CHECK_INTERVAL_S)
 
     async def _start_or_stop(self, holder: str) -> None:
         """Runs the samples in place of the holder, or hands them back to it."""
--- a/src/kingcupscale/node.py
+++ b/src/kingcupscale/node.py
@@ -11,8 +11,8 @@
 from kingcupscale import events
 from kingcupscale import metrics
 from kingcupscale import settings as node_settings
-from kingcupscale.capacity import ordering
 from kingcupscale.capacity import zone as zones
+from kingcupscale.capacity import zonescaler
 from kingcupscale.configuration import admission
 from kingcupscale.configuration import editor
 from kingcupscale.configuration import keys
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen
-class Surroundings:
+class Dependencies:
     """What a node reaches the world by.
 
     Attributes:
@@ -82,7 +82,7 @@
 
     Args:
         settings: What it is told.
-        surroundings: What it reaches the world by.
+        dependencies: What it reaches the world by.
         peer_service: Where its handlers for peers are offered.
 
     Attributes:
@@ -94,17 +94,17 @@
     def __init__(
         self,
         settings: node_settings.NodeSettings,
-        surroundings: Surroundings,
+        dependencies: Dependencies,
         peer_service: transport.PeerService,
     ) -> None:
         self.settings = settings
-        self.surroundings = surroundings
-        self.clock = surroundings.clock
+        self.dependencies = dependencies
+        self.clock = dependencies.clock
         self.peer_service = peer_service
         self.incarnation = int(self.clock.now().timestamp() * 1000)
         self.leases: list[lease.Lease] = []
         self.duties: set[str] = set()
-        self.drain_asked = trio.Event()
+        self.drain_requested = trio.Event()
         self.stopped = trio.Event()
         self._make_platform()
         self._make_membership()
@@ -114,7 +114,7 @@
 
     def _make_platform(self) -> None:
         platform = self.settings.platform
-        http_client = self.surroundings.http_client
+        http_client = self.dependencies.http_client
         timeout_s = self.settings.timings.order_timeout_s
         self.store = keyvalue.HttpKeyValueStore(http_client, platform.key_value)
         self.directory = vmlist.HttpVmDirectory(http_client, platform.vm_list)
@@ -129,7 +129,7 @@
         timings = self.settings.timings
         me = members.Member(
             self.settings.name,
-            self.surroundings.peer_address,
+            self.dependencies.peer_address,
             self.settings.zone,
             self.settings.region,
             self.incarnation,
@@ -137,7 +137,7 @@
         self.members = members.Members(me, self.clock, timings.suspicion_s)
         self.gossip = gossip.Gossip(
             self.members,
-            self.surroundings.peers,
+            self.dependencies.peers,
             self.peer_service,
             list(self.settings.seeds),
             self.clock,
@@ -145,7 +145,7 @@
                 interval_s=timings.gossip_interval_s,
                 suspicion_s=timings.suspicion_s,
             ),
-            self.surroundings.rng,
+            self.dependencies.rng,
         )
 
     def _make_configuration(self) -> None:
@@ -165,12 +165,12 @@
             log.ChangeLog(self.store),
             self.directory,
             self.clock,
-            self.surroundings.rng,
+            self.dependencies.rng,
         )
         self.editor = editor.Editor(self.replicator, self.clock)
 
     def _make_serving(self) -> None:
-        http_client = self.surroundings.http_client
+        http_client = self.dependencies.http_client
         name = f"{self.settings.name}/{self.incarnation}"
         self.metrics = metrics.Metrics(
             metrics.make_client(self.settings.statsd)
@@ -179,12 +179,12 @@
         self.counter_replicator = counterreplication.CounterReplicator(
             self.counters,
             self.members,
-            self.surroundings.peers,
+            self.dependencies.peers,
             self.peer_service,
             self.clock,
         )
         self.pools = services.Services(
-            self.replica, self.clock, self.surroundings.rng
+            self.replica, self.clock, self.dependencies.rng
         )
         key_ring = keys.KeyRing(self.replica)
         self.sessions = sessions.Sessions(key_ring)
@@ -230,7 +230,7 @@
             self.editor,
             reporter,
             self.read_status,
-            self.drain_asked.set,
+            self.drain_requested.set,
         )
 
     async def run(self) -> None:
@@ -241,7 +241,7 @@
             nursery.start_soon(self.rollouts.run)
             nursery.start_soon(self.counter_replicator.run)
             nursery.start_soon(self._run_configured, nursery)
-            await self.drain_asked.wait()
+            await self.drain_requested.wait()
             await self._drain()
             nursery.cancel_scope.cancel()
         self.stopped.set()
@@ -278,12 +278,12 @@
             zone,
             self.pools,
             self.publications,
-            self.surroundings.http_client,
+            self.dependencies.http_client,
             order_sender,
             self.clock,
             self.settings.timings.order_timeout_s,
         )
-        servers = ordering.Ordering(
+        servers = zonescaler.ZoneScaler(
             zone,
             self.pools,
             self.provider,
--- a/src/kingcupscale/peering/replication.py
+++ b/src/kingcupscale/peering/replication.py
@@ -57,7 +57,7 @@
     if not text:
         return ""
     whole = "\0".join(f"{event.version} {event.data}" for event in text)
-    return hashing.short(whole)
+    return hashing.hex64(whole)
 
 
 @attrs.frozen
--- a/src/kingcupscale/platform/cloud.py
+++ b/src/kingcupscale/platform/cloud.py
@@ -1,6 +1,6 @@
 """Client of the platform's cloud API for usage reports and server orders."""
 
-from kingcupscale.capacity import fleetsize
+from kingcupscale.capacity import autoscaler
 from kingcupscale.platform import names
 from kingcupscale.storage import locks
 from kingcupscale.usage import windows
@@ -41,8 +41,8 @@
             )
 
     async def order(
-        self, order: fleetsize.Order, holder: locks.Holder
-    ) -> fleetsize.OrderState:
+        self, order: autoscaler.Order, holder: locks.Holder
+    ) -> autoscaler.OrderState:
         """Orders the number of servers that a service should have."""
         body = {
             "service": order.service,
@@ -54,16 +54,16 @@
         try:
             response = await self._post("/scale", body, holder)
         except httpclient.RequestError as e:
-            raise fleetsize.OrderError(e.reason) from e
+            raise autoscaler.OrderError(e.reason) from e
         except locks.DutyLostError as e:
-            raise fleetsize.OrderError("the duty is not held") from e
+            raise autoscaler.OrderError("the duty is not held") from e
         if response.status == 200:
-            return fleetsize.OrderState.TAKEN
+            return autoscaler.OrderState.ACCEPTED
         # 409 means that a newer holder has sent orders or that the cloud has no
         # servers available.
         if response.status == 409:
-            return fleetsize.OrderState.REFUSED
-        raise fleetsize.OrderError(f"status {response.status}")
+            return autoscaler.OrderState.REFUSED
+        raise autoscaler.OrderError(f"status {response.status}")
 
     async def _post(
         self, path: str, body: object, holder: locks.Holder
--- a/src/kingcupscale/platform/process.py
+++ b/src/kingcupscale/platform/process.py
@@ -67,7 +67,7 @@
 
 
 def make_runtime(
-    settings: deployment.SiteSettings,
+    settings: deployment.ProcessSettings,
     clients: HttpClients,
     clock: clocks.Clock,
     rng: random.Random,
@@ -123,7 +123,7 @@
     lines: logs.LineWriter | None = None
 
 
-async def run(settings: deployment.SiteSettings, options: Options) -> None:
+async def run(settings: deployment.ProcessSettings, options: Options) -> None:
     """Runs a node until a signal stops it and the planned stop is complete.
 
     A process that serves no callers only waits for the signal.
--- a/src/kingcupscale/platform/settingsfile.py
+++ b/src/kingcupscale/platform/settingsfile.py
@@ -6,7 +6,7 @@
 from kingcupscale import settings
 
 
-def load(path: str) -> deployment.SiteSettings:
+def load(path: str) -> deployment.ProcessSettings:
     """Returns the settings of a file with one ``name=value`` on each line.
 
     Raises:
@@ -18,7 +18,7 @@
         raise settings.SettingsError(path, [f"  {e}"]) from None
     reader = _Reader(_split(text))
     duties = reader.text("cloud.duties").split(",")
-    loaded = deployment.SiteSettings(
+    loaded = deployment.ProcessSettings(
         node=reader.required("node"),
         role=reader.text("role"),
         zone=reader.required("zone"),
@@ -28,7 +28,7 @@
         store=reader.required("provider.address"),
         cloud=reader.text("cloud.address"),
         seeds=tuple(s for s in reader.text("seeds").split(",") if s),
-        least_lease_s=reader.number("provider.ttlMinMs", 1000.0) / 1000,
+        min_lease_s=reader.number("provider.ttlMinMs", 1000.0) / 1000,
         value_bytes=int(reader.number("provider.valueBytes", 1 << 20)),
         heartbeat_s=reader.number("heartbeatMs", 1200.0) / 1000,
         reports_usage="metering" in duties,
@@ -47,8 +47,8 @@
         drain_s=reader.milliseconds("bounds.drainMs", defaults.drain_s),
         grace_s=reader.number("bounds.graceS", defaults.grace_s),
         apply_s=reader.milliseconds("bounds.configApplyMs", defaults.apply_s),
-        apply_stretch_s=reader.milliseconds(
-            "bounds.stretchMaxMs", defaults.apply_stretch_s
+        apply_extension_s=reader.milliseconds(
+            "bounds.stretchMaxMs", defaults.apply_extension_s
         ),
         lease_s=reader.milliseconds("bounds.leaseMs", defaults.lease_s),
         window_s=reader.number("bounds.reportWindowS", defaults.window_s),
--- a/src/kingcupscale/providers/capacityprovider.py
+++ b/src/kingcupscale/providers/capacityprovider.py
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen
-class OrderAnswer:
+class OrderResponse:
     """Whether the order was taken, and the server it is about."""
 
     accepted: bool
@@ -84,7 +84,7 @@
 
     async def order(
         self, order: CapacityOrder, before_send: Callable[[], None]
-    ) -> OrderAnswer:
+    ) -> OrderResponse:
         """Sends one order."""
         ...
 
@@ -98,7 +98,7 @@
 
     async def order(
         self, order: CapacityOrder, before_send: Callable[[], None]
-    ) -> OrderAnswer:
+    ) -> OrderResponse:
         """Sends one order.
 
         Args:
@@ -107,7 +107,7 @@
         """
         request = message.json_request("/capacity/orders", order)
         request.before_send = before_send
-        return await self.call(request, OrderAnswer)
+        return await self.call(request, OrderResponse)
 
     async def list(self, zone: str) -> ServerList:
         """Returns the ordered servers of a zone."""
--- a/src/kingcupscale/providers/keyvalue.py
+++ b/src/kingcupscale/providers/keyvalue.py
@@ -66,7 +66,7 @@
 
 
 @attrs.frozen
-class GetAnswer:
+class GetResponse:
     """Entries in key order, and the store's version they are as of."""
 
     entries: list[Entry]
@@ -74,7 +74,7 @@
 
 
 @attrs.frozen
-class PutAnswer:
+class PutResponse:
     """Whether a write took place, and its version.
 
     Attributes:
@@ -93,7 +93,7 @@
         """Returns one entry."""
         ...
 
-    async def scan(self, prefix: str, after: str = "") -> GetAnswer:
+    async def scan(self, prefix: str, after: str = "") -> GetResponse:
         """Returns the entries under a prefix with keys past ``after``."""
         ...
 
@@ -103,13 +103,13 @@
         value: str | None,
         if_version: int,
         lease_s: float | None = None,
-    ) -> PutAnswer:
+    ) -> PutResponse:
         """Writes or deletes if the present version is the given one."""
         ...
 
     async def watch(
         self, prefix: str, after: int, timeout_s: float
-    ) -> GetAnswer:
+    ) -> GetResponse:
         """Returns the entries changed past a version, waiting for one."""
         ...
 
@@ -119,13 +119,13 @@
 
     async def get(self, key: str) -> Entry | None:
         """Returns one entry."""
-        answer = await self._call("/kv/get", GetRequest(key), GetAnswer)
+        answer = await self._call("/kv/get", GetRequest(key), GetResponse)
         return answer.entries[0] if answer.entries else None
 
-    async def scan(self, prefix: str, after: str = "") -> GetAnswer:
+    async def scan(self, prefix: str, after: str = "") -> GetResponse:
         """Returns the entries under a prefix with keys past ``after``."""
         request = GetRequest(prefix, prefix=True, after=after)
-        return await self._call("/kv/get", request, GetAnswer)
+        return await self._call("/kv/get", request, GetResponse)
 
     async def put(
         self,
@@ -133,17 +133,17 @@
         value: str | None,
         if_version: int,
         lease_s: float | None = None,
-    ) -> PutAnswer:
+    ) -> PutResponse:
         """Writes or deletes if the present version is the given one."""
         request = PutRequest(key, value, if_version, lease_s)
-        return await self._call("/kv/put", request, PutAnswer)
+        return await self._call("/kv/put", request, PutResponse)
 
     async def watch(
         self, prefix: str, after: int, timeout_s: float
-    ) -> GetAnswer:
+    ) -> GetResponse:
         """Returns the entries changed past a version, waiting for one."""
         request = WatchRequest(prefix, after, timeout_s)
-        return await self._call("/kv/watch", request, GetAnswer, timeout_s)
+        return await self._call("/kv/watch", request, GetResponse, timeout_s)
 
     async def _call(
         self, path: str, request: object, kind: type[T], wait_s: float = 0
@@ -159,7 +159,7 @@
     value: str,
     if_version: int,
     lease_s: float | None = None,
-) -> PutAnswer:
+) -> PutResponse:
     """Writes a value that is unique to this write, and learns its fate.
 
     A write whose answer was lost may even take effect later, so it is sent
@@ -192,11 +192,11 @@
     raise calls.PlatformError(reason, may_have_run)
 
 
-async def _read_back(store: KeyValueStore, key: str, value: str) -> PutAnswer:
+async def _read_back(store: KeyValueStore, key: str, value: str) -> PutResponse:
     entry = await store.get(key)
     if entry is None:
-        return PutAnswer(False, ABSENT)
-    return PutAnswer(entry.value == value, entry.version)
+        return PutResponse(False, ABSENT)
+    return PutResponse(entry.value == value, entry.version)
 
 
 def new_token() -> str:
--- a/src/kingcupscale/providers/usageintake.py
+++ b/src/kingcupscale/providers/usageintake.py
@@ -46,7 +46,7 @@
 
 
 @attrs.frozen
-class ReportAnswer:
+class ReportResponse:
     """Whether the intake took the report or already had the same."""
 
     taken: bool
@@ -57,7 +57,7 @@
 
     async def send(
         self, report: Report, before_send: Callable[[], None]
-    ) -> ReportAnswer:
+    ) -> ReportResponse:
         """Sends one report."""
         ...
 
@@ -67,7 +67,7 @@
 
     async def send(
         self, report: Report, before_send: Callable[[], None]
-    ) -> ReportAnswer:
+    ) -> ReportResponse:
         """Sends one report.
 
         Args:
@@ -76,4 +76,4 @@
         """
         request = message.json_request("/usage", report)
         request.before_send = before_send
-        return await self.call(request, ReportAnswer)
+        return await self.call(request, ReportResponse)
--- a/src/kingcupscale/readiness.py
+++ b/src/kingcupscale/readiness.py
@@ -77,7 +77,7 @@
         at all reaches the store, no key is withdrawn, but a node that reaches
         no other node cannot know that.
         """
-        in_force_s = self.bounds.apply_s + self.bounds.apply_stretch_s
+        in_force_s = self.bounds.apply_s + self.bounds.apply_extension_s
         if self.mirror.essential_age_s() <= in_force_s:
             return False
         silent_s = self.clock.monotonic() - self.peers.answered_at
--- a/src/kingcupscale/rendezvous.py
+++ b/src/kingcupscale/rendezvous.py
@@ -18,4 +18,4 @@
 
 
 def _weight(subject: str, candidate: str) -> int:
-    return hashing.number(f"{subject}\0{candidate}")
+    return hashing.hash64(f"{subject}\0{candidate}")
--- a/src/kingcupscale/rollouts/step.py
+++ b/src/kingcupscale/rollouts/step.py
@@ -169,7 +169,7 @@
 
     def _seed(self, number: int, index: int) -> int:
         text = f"{self.specification.seed}/{number}/{index}"
-        return hashing.number(text) >> 1
+        return hashing.hash64(text) >> 1
 
     def _is_fresh(self, segments: list[messages.Segment]) -> bool:
         oldest = min(segment.version for segment in segments)
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -84,7 +84,7 @@
 
     def __init__(
         self,
-        settings: deployment.SiteSettings,
+        settings: deployment.ProcessSettings,
         deps: dependencies.Dependencies,
     ) -> None:
         self.settings = settings
@@ -138,9 +138,7 @@
         )
         self.batch_cache.on_change = self._wake_coordinators
         self.relay = relay.RelayHandler(self.mirror, self.batch_cache)
-        ttl_s = max(
-            settings.least_lease_s, LEASE_SHARE * settings.bounds.lease_s
-        )
+        ttl_s = max(settings.min_lease_s, LEASE_SHARE * settings.bounds.lease_s)
         self.session = locks.LeaseSession(
             deps.store, self.clock, settings.node, ttl_s
         )
@@ -333,7 +331,7 @@
                 if duty.needs_batches()
             }
             self.batch_cache.set_interest(everything, frozenset(models))
-            await self.clock.rest(INTEREST_INTERVAL_S)
+            await self.clock.sleep_aligned(INTEREST_INTERVAL_S)
 
     def _poll_interval_s(self) -> float:
         if self.is_leader():
@@ -397,7 +395,7 @@
         """Removes servers that have not registered again in time."""
         while True:
             self.server_registry.remove_expired()
-            await self.clock.rest(SWEEP_INTERVAL_S)
+            await self.clock.sleep_aligned(SWEEP_INTERVAL_S)
 
     async def _start_duties(self) -> None:
         """Starts the duties of services with engines and of their models."""
@@ -409,7 +407,7 @@
                 ):
                     if service.slots:
                         self._start_service(name, service.models, nursery)
-                await self.clock.rest(DUTY_START_INTERVAL_S)
+                await self.clock.sleep_aligned(DUTY_START_INTERVAL_S)
 
     def _start_service(
         self, service: str, models: Iterable[str], nursery: trio.Nursery
@@ -428,7 +426,7 @@
     async def _share_usage(self) -> None:
         """Sends this node's usage counts to the node that reports them."""
         while True:
-            await self.clock.rest(USAGE_INTERVAL_S)
+            await self.clock.sleep_aligned(USAGE_INTERVAL_S)
             try:
                 await self.usage.flush()
             except stores.StoreError as e:
--- a/src/kingcupscale/serving/claims.py
+++ b/src/kingcupscale/serving/claims.py
@@ -96,7 +96,7 @@
             ServiceError: ``CLAIM_UNAVAILABLE``, ``IDEMPOTENCY_MISMATCH``,
                 ``IDEMPOTENCY_BUSY`` or ``IDEMPOTENCY_UNKNOWN``.
         """
-        digest = hashing.long(text.encode())
+        digest = hashing.hex128(text.encode())
         key = f"{PREFIX}{organisation}/{digest}"
         claim = Claim(
             fingerprint, ClaimState.RUNNING, self.node, keyvalue.new_token()
--- a/src/kingcupscale/serving/generation.py
+++ b/src/kingcupscale/serving/generation.py
@@ -145,7 +145,7 @@
     ) -> scheduler.SlotRequest:
         affinity = job.affinity or job.prompt[:AFFINITY_PREFIX_CHARACTERS]
         requirements = routing.ServerRequirements(
-            hashing.short(affinity),
+            hashing.hex64(affinity),
             job.service_class.cheap,
             frozenset(excluded),
         )
--- a/src/kingcupscale/serving/plainservices.py
+++ b/src/kingcupscale/serving/plainservices.py
@@ -248,4 +248,4 @@
 def _fingerprint(call: Call) -> str:
     parts = (call.request.method, call.path, call.request.query)
     head = "\0".join(parts).encode()
-    return hashing.long(head + b"\0" + call.request.body)
+    return hashing.hex128(head + b"\0" + call.request.body)
--- a/src/kingcupscale/storage/locks.py
+++ b/src/kingcupscale/storage/locks.py
@@ -109,7 +109,7 @@
                     reason=e.reason,
                     left_s=round(self.ends_at - self.clock.monotonic(), 2),
                 )
-            await self.clock.rest(self.ttl_s / RENEWALS_PER_TTL)
+            await self.clock.sleep_aligned(self.ttl_s / RENEWALS_PER_TTL)
 
     async def open(self) -> None:
         """Acquires the lease if it is not held, unless the session is closed.
@@ -442,7 +442,7 @@
                 duty=duty_lock.name,
                 reason=e.reason,
             )
-        await duty_lock.clock.rest(pause_s)
+        await duty_lock.clock.sleep_aligned(pause_s)
 
 
 async def _wait_for_turn(duty_lock: DutyLock, rank: Callable[[], int]) -> None:
--- a/src/kingcupscale/storage/mirror.py
+++ b/src/kingcupscale/storage/mirror.py
@@ -419,7 +419,7 @@
     """Returns an entry's share of the checksum; 0 for a removed key."""
     if entry is None or entry.value is None:
         return 0
-    return hashing.number(f"{entry.key} {entry.revision}")
+    return hashing.hash64(f"{entry.key} {entry.revision}")
 
 
 def _do_nothing() -> None:
--- a/src/kingcupscale/usage/reporting.py
+++ b/src/kingcupscale/usage/reporting.py
@@ -153,7 +153,7 @@
         return {
             key: totals
             for key, totals in self.replicator.counters.totals_by_key.items()
-            if hashing.number(key[1]) % self.shards == self.shard
+            if hashing.hash64(key[1]) % self.shards == self.shard
         }
 
     async def _send(self, window: Window) -> None:
--- a/tests/batches/test_decisions.py
+++ b/tests/batches/test_decisions.py
@@ -14,7 +14,7 @@
 from kingcupscale.batches import record
 from kingcupscale.batches import sample
 from kingcupscale.batches import weights
-from kingcupscale.capacity import fleetsize
+from kingcupscale.capacity import autoscaler
 from kingcupscale.fleet import catalogue
 from kingcupscale.fleet import registry
 from kingcupscale.gateway import backoff
@@ -288,16 +288,16 @@
     )
     def test_wanted_by_zone(self, _, total, closed, expected):
         self.assertEqual(
-            fleetsize.wanted_by_zone(self.SCALING, total, closed), expected
+            autoscaler.wanted_by_zone(self.SCALING, total, closed), expected
         )
 
     def test_peak_demand_is_kept_for_a_while(self):
-        demand = fleetsize.Demand()
-        demand.note(0.0, 40)
-        demand.note(30.0, 0)
-        self.assertEqual(demand.servers(8), 4)
-        demand.note(100.0, 0)
-        self.assertEqual(demand.servers(8), 0)
+        demand = autoscaler.Demand()
+        demand.record(0.0, 40)
+        demand.record(30.0, 0)
+        self.assertEqual(demand.required_servers(8), 4)
+        demand.record(100.0, 0)
+        self.assertEqual(demand.required_servers(8), 0)
 
 
 class CallPlacementTest(unittest.TestCase):
--- a/tests/platform/harness.py
+++ b/tests/platform/harness.py
@@ -119,7 +119,7 @@
     def __init__(self, site, name, zone):
         self.site = site
         self.name = name
-        settings = deployment.SiteSettings(
+        settings = deployment.ProcessSettings(
             node=name,
             role="node",
             zone=zone,
@@ -129,7 +129,7 @@
             store=STORE,
             cloud=CLOUD,
             seeds=(),
-            least_lease_s=1.0,
+            min_lease_s=1.0,
             value_bytes=1 << 20,
             heartbeat_s=1.2,
             reports_usage=True,
--- a/tests/platform/test_lease_expiry.py
+++ b/tests/platform/test_lease_expiry.py
@@ -10,7 +10,7 @@
 import parameterized
 import trio
 
-from kingcupscale.capacity import fleetsize
+from kingcupscale.capacity import autoscaler
 from kingcupscale.fakes import virtualtime
 from kingcupscale.fleet import registry
 from kingcupscale.fleet import serverclient
@@ -61,7 +61,7 @@
 
 
 async def _scale(http_client, holder):
-    order = fleetsize.Order("engines", "a", 2)
+    order = autoscaler.Order("engines", "a", 2)
     await cloud.PlatformCloud(http_client, "cloud").order(order, holder)
 
 
@@ -100,7 +100,7 @@
         http_client = SlowHttpClient(delay_s)
         failures = (
             windows.ReportError,
-            fleetsize.OrderError,
+            autoscaler.OrderError,
             serverclient.ServerError,
         )
         with contextlib.suppress(*failures):
