--- a/src/kingcupscale/leadership.py
+++ b/src/kingcupscale/leadership.py
@@ -47,7 +47,8 @@
 
     Every node has one per service and campaigns for the duty. It owns the
     service's coordinator, which runs samples. Only the leader uses its loader,
-    which sends load orders to engines, and its autoscaler, which orders servers.
+    which sends load orders to engines, and its autoscaler, which orders
+    servers.
 
     Args:
         runtime: The node.
