--- a/src/kingcupscale/rollouts/__init__.py
+++ b/src/kingcupscale/rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""Rollouts: steps of sample groups, fresh and whole, for trainers."""
+"""Rollouts for trainers: steps, sample groups and weight versions."""
--- a/src/kingcupscale/rollouts/activation.py
+++ b/src/kingcupscale/rollouts/activation.py
@@ -1,4 +1,8 @@
-"""Bringing published weights to a zone's engines."""
+"""Rolls out published weight versions to the engines of an availability zone.
+
+Owns a zone's view of its engines and decides when each engine stages (loads)
+and activates a version.
+"""
 
 from collections.abc import Iterable
 
@@ -28,7 +32,7 @@
 
 @attrs.frozen
 class StagingOrder:
-    """A version that an engine was told to read, and when."""
+    """A version that an engine was ordered to stage, and when."""
 
     version: int
     ordered_at: float
@@ -36,14 +40,14 @@
 
 @attrs.define
 class EngineStatus:
-    """What the holder knows of one engine.
+    """The lease holder's view of one engine.
 
     Attributes:
         address: ``host:port``.
-        state: What it last said of itself; None if it does not answer.
-        read_at: Monotonic time of that.
-        staging: What it was told to read, by trainer.
-        quarantined_until: Monotonic time before which nothing is tried.
+        state: The last state it reported; None if it does not respond.
+        read_at: Monotonic time of the last read.
+        staging: Pending staging orders by trainer.
+        quarantined_until: Monotonic time until which it gets no orders.
     """
 
     address: str
@@ -53,16 +57,16 @@
     quarantined_until: float = 0.0
 
     def active(self, trainer: str) -> int:
-        """Returns the version it runs for a trainer."""
+        """Returns a trainer's active version, 0 if there is none."""
         return self.state.active.get(trainer, 0) if self.state else 0
 
     def is_staging(self, trainer: str, version: int) -> bool:
-        """Tells whether it was told to read a version."""
+        """Returns whether it was ordered to stage a version."""
         staging = self.staging.get(trainer)
         return staging is not None and staging.version == version
 
     def has_version(self, trainer: str, version: int) -> bool:
-        """Tells whether it runs a version or is ready to."""
+        """Returns whether it has staged a version or runs it or a newer one."""
         if self.state is None:
             return False
         is_staged = self.state.staged.get(trainer) == version
@@ -70,19 +74,20 @@
 
 
 class WeightActivator:
-    """Stages and activates versions in one zone, a round at a time.
+    """Stages and activates versions in one zone.
 
-    All zones stage first; when each has said so in the store, each activates
-    by one small order an engine, so that all switch within seconds.
+    Activation starts once every zone has recorded in the store that it staged
+    the version, or after ``STAGE_TIMEOUT_S``. It takes only one small order
+    per engine, so that all engines switch within seconds.
 
     Args:
         zone: The availability zone.
-        pools: The services.
-        publications: What is published and staged.
-        http_client: Reaches the engines.
+        pools: The services and their servers.
+        publications: Published and staged versions.
+        http_client: Sends the requests to the engines.
         order_sender: Sends the orders.
-        clock: Tells the time.
-        order_timeout_s: Longest time an order may be under way.
+        clock: Source of the time.
+        order_timeout_s: Maximum time that an order is in flight, in seconds.
     """
 
     def __init__(
@@ -105,7 +110,7 @@
         self.engines: dict[str, EngineStatus] = {}
 
     async def run_once(self) -> None:
-        """Does what is next for every published version."""
+        """Runs the next stage or activation of every published version."""
         state = await self.publications.read()
         for published in state.published.values():
             statuses = self._find_engines(published.service)
@@ -155,7 +160,7 @@
         self._expire_staging(status)
 
     def _expire_staging(self, status: EngineStatus) -> None:
-        """Lets an engine that did not get the weights be told again."""
+        """Drops completed staging orders, and lost ones to send them again."""
         oldest = self.clock.monotonic() - STAGE_RETRY_S
         status.staging = {
             trainer: staging
@@ -224,7 +229,7 @@
     async def send(
         self, order: journals.JournalOrder, lease_check: ordersender.LeaseCheck
     ) -> ordersender.Outcome:
-        """Sends one journalled order to its engine."""
+        """Sends one order from the journal to its engine."""
         body = codec.decode(engine.EngineOrder, order.detail)
         state = await engine.send_order(
             self.http_client,
--- a/src/kingcupscale/rollouts/messages.py
+++ b/src/kingcupscale/rollouts/messages.py
@@ -1,4 +1,4 @@
-"""What trainers send and get."""
+"""Requests and responses of the rollout API for trainers."""
 
 import attrs
 
@@ -16,8 +16,8 @@
     """One group to sample.
 
     Attributes:
-        group: Its number in the step.
-        prompt: Text that all its samples continue.
+        group: Number of the group, unique in the step.
+        prompt: The prompt of all samples of the group.
     """
 
     group: codec.NaturalInt
@@ -26,15 +26,15 @@
 
 @attrs.frozen
 class StepSpecification:
-    """What a step consists of; the same at every opening.
+    """Contents of a step; identical whenever the step is opened.
 
     Attributes:
         step: Number of the step, unique to the trainer.
-        version: The trainer's weight version when it began the step.
+        version: The trainer's weight version at the start of the step.
         groups: The groups.
-        samples: Samples in each group.
-        max_tokens: Longest sample.
-        seed: Chooses the samples.
+        samples: Number of samples in each group.
+        max_tokens: Maximum number of tokens in a sample.
+        seed: Seed of the sampling.
     """
 
     step: codec.NaturalInt
@@ -47,11 +47,11 @@
 
 @attrs.frozen
 class OpenRequest:
-    """Opens a step, or goes on with it on another node.
+    """Opens a step, or resumes it on another node.
 
     Attributes:
         specification: The step.
-        received: Groups the trainer has already.
+        received: Numbers of the groups that the trainer has received.
     """
 
     specification: StepSpecification
@@ -60,14 +60,14 @@
 
 @attrs.frozen
 class FetchRequest:
-    """Asks for complete groups.
+    """Fetches complete groups.
 
     Attributes:
         step: Number of the step.
-        version: The trainer's weight version now.
-        received: Groups the trainer has already.
-        limit: Most groups to return.
-        wait_s: Longest wait for a first one, in seconds.
+        version: The trainer's current weight version.
+        received: Numbers of the groups that the trainer has received.
+        limit: Maximum number of groups to return.
+        wait_s: Maximum wait for the first group, in seconds.
     """
 
     step: codec.NaturalInt
@@ -79,14 +79,14 @@
 
 @attrs.frozen
 class CancelRequest:
-    """Ends a step and its work on the engines."""
+    """Cancels a step and its requests to engines."""
 
     step: codec.NaturalInt
 
 
 @attrs.frozen
 class PublishRequest:
-    """Announces weights that lie whole in the weight store."""
+    """Publishes a version that is complete in the weight store."""
 
     version: codec.PositiveInt
 
@@ -97,8 +97,8 @@
 
     Attributes:
         version: The weight version.
-        start: First token, counted from 0.
-        end: One past the last token.
+        start: Index of the first token, from 0.
+        end: Index after the last token.
         engine: Name of the engine.
     """
 
@@ -110,14 +110,14 @@
 
 @attrs.frozen
 class Sample:
-    """One whole sample.
+    """One complete sample.
 
     Attributes:
-        index: Its number in the group.
+        index: Number of the sample, unique in the group.
         seed: The seed it was generated with.
-        tokens: Its tokens.
-        segments: Which weight versions generated which tokens.
-        score: What the scoring service gave, if one is configured.
+        tokens: The generated tokens.
+        segments: The weight version and engine of each range of tokens.
+        score: Score from the scoring service, or None without one.
     """
 
     index: int
@@ -127,7 +127,7 @@
     score: float | None = None
 
     def oldest_version(self) -> int:
-        """Returns the oldest weight version in the sample."""
+        """Returns the oldest weight version that generated any token."""
         return min(segment.version for segment in self.segments)
 
 
@@ -141,11 +141,11 @@
 
 @attrs.frozen
 class StepAnswer:
-    """How a step stands.
+    """Progress of a step.
 
     Attributes:
         step: Number of the step.
-        remaining: Groups the trainer does not have yet.
+        remaining: Number of groups that the trainer has not received.
     """
 
     step: int
@@ -154,11 +154,11 @@
 
 @attrs.frozen
 class FetchAnswer:
-    """Complete groups, none older than the bound.
+    """Complete groups within the staleness bound.
 
     Attributes:
-        groups: Groups the trainer does not have yet.
-        remaining: Groups it will still lack with these.
+        groups: Groups that the trainer has not received.
+        remaining: Number of groups missing after these.
     """
 
     groups: list[Group]
--- a/src/kingcupscale/rollouts/publication.py
+++ b/src/kingcupscale/rollouts/publication.py
@@ -1,4 +1,8 @@
-"""Which weight version a trainer has published, decided by the store."""
+"""Published and staged weight versions in the key-value service.
+
+A trainer's version only increases; conditional writes resolve concurrent
+publications.
+"""
 
 import datetime
 
@@ -18,14 +22,14 @@
 
 @attrs.frozen
 class PublishedVersion:
-    """A trainer's newest weights.
+    """A trainer's newest published weight version.
 
     Attributes:
         trainer: Name of the trainer.
-        service: The engine service that is to run them.
-        version: The version.
-        at: When it was published, in UTC.
-        token: Unique to the write.
+        service: The engine service that runs the weights.
+        version: The weight version.
+        at: Time of the publication, in UTC.
+        token: Unique to each write.
     """
 
     trainer: str
@@ -37,7 +41,7 @@
 
 @attrs.frozen
 class StagedVersion:
-    """Says that a zone's engines hold a version, ready to activate."""
+    """Records that a zone's engines have staged a version."""
 
     trainer: str
     zone: str
@@ -47,12 +51,12 @@
 
 @attrs.frozen
 class PublicationState:
-    """All heads, and which zones have staged what.
+    """All published versions and the versions staged in each zone.
 
     Attributes:
-        published: By trainer.
-        staged: Version by trainer and zone.
-        versions: The store's versions of the entries, by key.
+        published: Published version by trainer.
+        staged: Staged version by trainer and zone.
+        versions: Entry versions in the key-value service, by key.
     """
 
     published: dict[str, PublishedVersion]
@@ -61,11 +65,11 @@
 
 
 class Publications:
-    """Publishes versions and reads what is published.
+    """Publishes weight versions and reads their state.
 
     Args:
         store: The key-value service.
-        clock: Tells the time.
+        clock: Source of the time.
     """
 
     def __init__(
@@ -75,7 +79,7 @@
         self.clock = clock
 
     async def publish(self, trainer: str, service: str, version: int) -> None:
-        """Makes a version the trainer's newest; repeating it is harmless.
+        """Publishes a trainer's newest version. The call is idempotent.
 
         Raises:
             ServiceError: ``VERSION_CONFLICT`` if a newer one is published,
@@ -93,7 +97,8 @@
                 retry_after_s=1,
             ) from e
         raise errors.ServiceError(
-            errors.ResultCode.VERSION_CONFLICT, "others publish all the time"
+            errors.ResultCode.VERSION_CONFLICT,
+            "concurrent publications prevented every attempt",
         )
 
     async def _try_publish(
@@ -108,7 +113,7 @@
             if current > version:
                 raise errors.ServiceError(
                     errors.ResultCode.VERSION_CONFLICT,
-                    f"version {current} is published already",
+                    f"expected a version above {current}, the published one",
                 )
         published = PublishedVersion(
             trainer, service, version, self.clock.now(), keyvalue.new_token()
@@ -126,7 +131,7 @@
         return answer.written
 
     async def read(self) -> PublicationState:
-        """Returns everything published and staged, by one call."""
+        """Reads all published and staged versions in one call."""
         answer = await self.store.scan("weights/")
         state = PublicationState(
             {}, {}, {e.key: e.version for e in answer.entries}
@@ -143,7 +148,7 @@
     async def mark_staged(
         self, state: PublicationState, trainer: str, zone: str, version: int
     ) -> None:
-        """Notes that a zone is ready to activate a version."""
+        """Records that a zone is ready to activate a version."""
         key = f"{STAGED_PREFIX}{trainer}/{zone}"
         staged = StagedVersion(trainer, zone, version, keyvalue.new_token())
         await keyvalue.put_resolved(
--- a/src/kingcupscale/rollouts/ranges.py
+++ b/src/kingcupscale/rollouts/ranges.py
@@ -1,4 +1,4 @@
-"""A compact set of group numbers, as inclusive ranges."""
+"""Encodes sets of group numbers as lists of inclusive ranges."""
 
 from collections.abc import Iterable
 
@@ -17,7 +17,7 @@
 
 
 def from_ranges(ranges: Ranges, known: Iterable[int]) -> set[int]:
-    """Returns those of the known numbers that lie in the ranges."""
+    """Returns the known numbers that are in the ranges."""
     return {
         number
         for number in known
--- a/src/kingcupscale/rollouts/scoring.py
+++ b/src/kingcupscale/rollouts/scoring.py
@@ -1,4 +1,4 @@
-"""Scores of samples, from the trainer's scoring service."""
+"""Scores samples with the trainer's scoring service."""
 
 from typing import Protocol
 
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class ScoreRequest:
-    """What a scoring service gets."""
+    """Request to a scoring service."""
 
     prompt: str
     text: str
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class ScoreAnswer:
-    """What it answers."""
+    """Response of a scoring service."""
 
     score: float
 
@@ -39,12 +39,12 @@
 
 
 class ServiceScorer:
-    """Scores by a plain service, whose calls may be repeated.
+    """Scores samples with a plain service; its calls may be retried.
 
     Args:
-        plain_service_client: Carries the calls.
+        plain_service_client: Calls the scoring service.
         service: Name of the scoring service.
-        grant: On whose behalf.
+        grant: The access rights to call it with.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         """Returns a sample's score.
 
         Raises:
-            ServiceError: If the service gives none.
+            ServiceError: If the service returns no valid score.
         """
         request = message.json_request(
             SCORE_PATH, ScoreRequest(prompt, " ".join(sample.tokens))
@@ -73,6 +73,6 @@
         except (codec.DecodeError, orjson.JSONDecodeError) as e:
             raise errors.ServiceError(
                 errors.ResultCode.ANSWER_REJECTED,
-                "the scoring service gave no score",
+                "the response of the scoring service contains no score",
                 errors.Run.RAN,
             ) from e
--- a/src/kingcupscale/rollouts/service.py
+++ b/src/kingcupscale/rollouts/service.py
@@ -1,4 +1,8 @@
-"""Serving trainers: steps, fetches, weight versions."""
+"""The rollout API for trainers on one node.
+
+Owns the node's open steps; handles requests to open, fetch from and cancel a
+step and to publish a weight version.
+"""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -29,16 +33,16 @@
 
 
 class RolloutService:
-    """The steps that one node runs, and the trainers' requests for them.
+    """Runs rollout steps and handles trainers' requests for them.
 
     Args:
-        replica: The node's configuration.
-        generator: Runs jobs on engines.
-        plain_service_client: Reaches scoring services.
+        replica: The node's replica of the configuration.
+        generator: Generates the samples.
+        plain_service_client: Calls scoring services.
         publications: Publishes weight versions.
-        weights: Tells which versions there are.
-        metrics: Histograms.
-        clock: Tells the time.
+        weights: The weight store.
+        metrics: Staleness histograms.
+        clock: Source of the time.
     """
 
     def __init__(
@@ -70,7 +74,7 @@
         }
 
     async def run(self) -> None:
-        """Runs the steps that are opened until cancelled."""
+        """Runs newly opened steps until cancelled."""
         async with trio.open_nursery() as nursery:
             async for step in self.step_receiver:
                 nursery.start_soon(self._run_step, step)
@@ -90,7 +94,7 @@
     async def serve(
         self, request: message.Request, grant: keys.Grant
     ) -> message.Response:
-        """Answers one request of a trainer."""
+        """Returns the response to one request of a trainer."""
         handler = self.handlers.get(request.path)
         if handler is None:
             raise errors.ServiceError(errors.ResultCode.ROUTE_UNKNOWN)
@@ -124,7 +128,7 @@
         if len(open_steps) >= MAX_STEPS_PER_TRAINER:
             raise errors.ServiceError(
                 errors.ResultCode.QUEUE_FULL,
-                f"{MAX_STEPS_PER_TRAINER} steps are open; cancel one",
+                f"found {MAX_STEPS_PER_TRAINER} open steps, the limit; cancel one",
                 retry_after_s=1,
             )
         step = steps.Step(specification, self._make_context(grant))
@@ -179,7 +183,7 @@
         if step is None:
             raise errors.ServiceError(
                 errors.ResultCode.STEP_UNKNOWN,
-                f"step {number} is not open here; open it to go on",
+                f"step {number} is not open on this node; open it to resume",
             )
         return step
 
@@ -210,24 +214,27 @@
         return message.json_response(body)
 
     async def _check_weights(self, trainer: str, version: int) -> None:
-        """Keeps engines from being told to read what is not there."""
+        """Checks that a version is complete in the weight store.
+
+        Otherwise engines would be ordered to stage missing weights.
+        """
         try:
             manifest = await self.weights.describe(trainer, version)
         except calls.PlatformError as e:
             raise errors.ServiceError(
                 errors.ResultCode.STORE_UNAVAILABLE,
-                f"the weight store cannot be asked: {e.reason}",
+                f"the request to the weight store failed: {e.reason}",
                 retry_after_s=1,
             ) from e
         if not manifest.ready:
             raise errors.ServiceError(
                 errors.ResultCode.WEIGHTS_MISSING,
-                f"version {version} of {trainer} is not whole",
+                f"version {version} of {trainer} is incomplete in the store",
                 retry_after_s=1,
             )
 
     def cancel_all(self) -> None:
-        """Ends all steps; trainers go on with them on another node."""
+        """Cancels all steps; trainers resume them on another node."""
         for step in list(self.steps.values()):
             step.cancel()
 
@@ -237,5 +244,5 @@
     if not numbers or len(set(numbers)) < len(numbers):
         raise errors.ServiceError(
             errors.ResultCode.BODY_INVALID,
-            "specification.groups: expected one or more, each number once",
+            "specification.groups: expected one or more, with unique numbers",
         )
--- a/src/kingcupscale/rollouts/staleness.py
+++ b/src/kingcupscale/rollouts/staleness.py
@@ -1,14 +1,14 @@
-"""The rule that no sample is older than the bound."""
+"""The bound on the age of the weights that generate a sample."""
 
 import attrs
 
 
 @attrs.frozen
 class StalenessRule:
-    """How far a sample's weights may lie behind the trainer's.
+    """Limits how many versions a sample may be behind the trainer.
 
     Attributes:
-        versions: Most versions behind; None for no bound.
+        versions: Maximum number of versions behind; None for no bound.
 
     Example:
         >>> rule = StalenessRule(versions=2)
@@ -21,11 +21,11 @@
     versions: int | None
 
     def oldest_allowed(self, trainer_version: int) -> int:
-        """Returns the oldest version a sample may hold."""
+        """Returns the oldest version that may generate a sample's tokens."""
         if self.versions is None:
             return 0
         return max(0, trainer_version - self.versions)
 
     def allows(self, version: int, trainer_version: int) -> bool:
-        """Tells whether tokens of a version may be delivered."""
+        """Returns whether tokens of a version may be delivered."""
         return version >= self.oldest_allowed(trainer_version)
--- a/src/kingcupscale/rollouts/step.py
+++ b/src/kingcupscale/rollouts/step.py
@@ -1,4 +1,8 @@
-"""One rollout step on the node that runs it."""
+"""One rollout step on the node that runs it.
+
+Owns the generation, scoring and delivery of the step's groups and enforces
+the staleness bound on their samples.
+"""
 
 import contextlib
 
@@ -25,21 +29,21 @@
 
 
 class _StaleError(Exception):
-    """A sample that would break the bound."""
+    """A sample exceeds the staleness bound."""
 
 
 @attrs.frozen
 class StepContext:
-    """What a step's work needs.
+    """The dependencies of a step.
 
     Attributes:
         trainer: Name of the trainer.
-        template: A job with everything but prompt, seed and length.
-        rule: The bound on staleness.
-        generator: Runs the jobs.
+        template: A job without prompt, seed and length.
+        rule: The staleness bound.
+        generator: Generates the samples.
         scorer: Scores samples, or None.
-        metrics: Histograms.
-        clock: Tells the time.
+        metrics: Staleness histograms.
+        clock: Source of the time.
     """
 
     trainer: str
@@ -52,19 +56,19 @@
 
 
 class Step:
-    """Makes the groups of one step and hands them out.
+    """Generates the groups of one step and delivers them.
 
-    The trainer is the authority on what was delivered: a group stays here
-    until a later fetch names it as received.
+    Only the trainer knows which groups it received: a group is kept until a
+    later fetch lists it as received.
 
     Args:
-        specification: What the step consists of.
-        context: What its work needs.
+        specification: Contents of the step.
+        context: Dependencies of the step.
 
     Attributes:
-        version: The newest weight version the trainer is known to have.
-        ready: Complete groups by number.
-        done: Numbers of the groups the trainer has.
+        version: The newest known weight version of the trainer.
+        ready: Complete groups that are not yet received, by number.
+        received: Numbers of the groups that the trainer has received.
         fetched_at: Monotonic time of the last fetch.
     """
 
@@ -84,7 +88,7 @@
         self.fetched_at = context.clock.monotonic()
 
     def mark_received(self, received: ranges.Ranges) -> None:
-        """Takes over which groups the trainer has."""
+        """Drops the groups that the trainer has received."""
         self.received |= ranges.from_ranges(received, self.groups)
         for group in self.received & self.ready.keys():
             del self.ready[group]
@@ -92,11 +96,15 @@
             self.cancel_scope.cancel()
 
     def remaining(self) -> int:
-        """Returns how many groups the trainer lacks."""
+        """Returns the number of groups that the trainer has not received."""
         return len(self.groups) - len(self.received)
 
     async def run(self) -> None:
-        """Makes all groups until the trainer has them or goes away."""
+        """Generates all groups.
+
+        Ends when the trainer has received them, has not fetched for
+        ``IDLE_TIMEOUT_S`` or has cancelled the step.
+        """
         with self.cancel_scope:
             async with trio.open_nursery() as nursery:
                 self.nursery = nursery
@@ -113,7 +121,7 @@
     async def _make_group(
         self, number: int, samples: dict[int, messages.Sample]
     ) -> None:
-        """Makes the samples that a group lacks."""
+        """Generates the missing samples of a group."""
         async with trio.open_nursery() as nursery:
             for index in range(self.specification.samples):
                 if index not in samples:
@@ -187,10 +195,10 @@
     async def fetch(
         self, request: messages.FetchRequest
     ) -> messages.FetchAnswer:
-        """Returns complete groups, waiting for the first of them.
+        """Returns complete groups, waiting until there is one.
 
         Raises:
-            ServiceError: ``STEP_CANCELLED`` if the step has ended otherwise.
+            ServiceError: ``STEP_CANCELLED`` if the step was cancelled.
         """
         self.fetched_at = self.context.clock.monotonic()
         self.version = max(self.version, request.version)
@@ -209,7 +217,10 @@
         await self.changed.wait()
 
     def _fresh_groups(self, limit: int) -> list[messages.Group]:
-        """Returns ready groups that keep the bound; remakes the others."""
+        """Returns complete groups within the staleness bound.
+
+        The stale samples of other groups are generated again.
+        """
         for group in list(self.ready.values()):
             fresh = {s.index: s for s in group.samples if self._can_deliver(s)}
             if len(fresh) < len(group.samples) and self.nursery is not None:
@@ -231,7 +242,7 @@
                 )
 
     def cancel(self) -> None:
-        """Ends the step and its work on the engines."""
+        """Cancels the step and its requests to engines."""
         self.cancel_scope.cancel()
         self.changed.set()
 
@@ -242,7 +253,7 @@
     start: int,
     end: int,
 ) -> None:
-    """Adds a token_chunk's tokens, to the last segment where it goes on."""
+    """Adds a chunk, extending the last segment if version and engine match."""
     last = segments[-1] if segments else None
     is_same = (
         last is not None
--- a/src/kingcupscale/rollouts/trainer.py
+++ b/src/kingcupscale/rollouts/trainer.py
@@ -1,4 +1,8 @@
-"""The trainers' client: steps that survive the loss of any node."""
+"""Client library for trainers.
+
+Runs rollout steps and publishes weight versions, and switches to another node
+after a failure.
+"""
 
 from collections.abc import AsyncIterator
 from collections.abc import Iterable
@@ -28,11 +32,11 @@
 
 
 class TrainerError(Exception):
-    """A request that will not succeed by trying again.
+    """A request failed with an error that retries cannot resolve.
 
     Args:
         code: Number of the result code.
-        detail: What the node said.
+        detail: Error message from the node.
     """
 
     def __init__(self, code: int, detail: str) -> None:
@@ -43,11 +47,11 @@
 
 @attrs.define
 class TrainerStatistics:
-    """What a client has seen.
+    """Counters of a client.
 
     Attributes:
-        repeated_groups: Groups that came a second time and were dropped.
-        node_changes: How often it went on with another node.
+        repeated_groups: Number of repeated groups that were dropped.
+        node_changes: Number of switches to another node.
     """
 
     repeated_groups: int = 0
@@ -55,13 +59,14 @@
 
 
 class TrainerClient:
-    """Runs rollout steps against whichever node answers.
+    """Runs rollout steps on any available node.
 
     Args:
-        http_client: Carries the requests.
-        nodes: ``host:port`` of the callers' listeners, or the balancer's.
+        http_client: Sends the requests.
+        nodes: ``host:port`` of the nodes' listeners for callers, or of the
+            load balancer.
         key: The trainer's key.
-        clock: Tells the time.
+        clock: Source of the time.
 
     Attributes:
         version: The trainer's weight version; set by ``publish``.
@@ -90,13 +95,13 @@
     async def run_step(
         self, specification: messages.StepSpecification
     ) -> AsyncIterator[messages.Group]:
-        """Yields each group of a step once, complete and fresh.
+        """Yields each group of a step once, within the staleness bound.
 
         Args:
-            specification: The step; the same when it is run again.
+            specification: The step; identical whenever the step is run again.
 
         Raises:
-            TrainerError: If the step cannot be run at all.
+            TrainerError: If a retry cannot resolve the error.
         """
         wanted = {group.group for group in specification.groups}
         received: set[int] = set()
@@ -123,7 +128,7 @@
     async def _fetch(
         self, specification: messages.StepSpecification, received: Iterable[int]
     ) -> messages.FetchAnswer | None:
-        """Returns groups, or None if the step has to be opened again."""
+        """Fetches groups; returns None if the step must be opened again."""
         body = messages.FetchRequest(
             specification.step,
             codec.NaturalInt(max(self.version, specification.version)),
@@ -140,7 +145,7 @@
     async def _finish(
         self, specification: messages.StepSpecification, received: set[int]
     ) -> None:
-        """Lets the node forget the step; it would by itself in time."""
+        """Cancels the step so that the node frees it before its timeout."""
         body = messages.CancelRequest(specification.step)
         try:
             await self._post(messages.CANCEL_PATH, body)
@@ -148,7 +153,7 @@
             return
 
     async def publish(self, version: int) -> None:
-        """Announces weights that lie in the weight store."""
+        """Publishes a version that is complete in the weight store."""
         body = messages.PublishRequest(codec.PositiveInt(version))
         await self._post_with_retries(messages.WEIGHTS_PATH, body)
         self.version = max(self.version, version)
--- a/src/kingcupscale/serving/routing.py
+++ b/src/kingcupscale/serving/routing.py
@@ -57,7 +57,7 @@
         return self.in_flight + self.other_requests * weight
 
     def slots(self) -> int:
-        """Returns the number of usable slots; one after a failure."""
+        """Returns the number of usable slots; one until a failure is reset."""
         return 1 if self.failures else self.server.slots
 
     def utilisation(self, now: float) -> float:
