--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -29,7 +29,7 @@
         "and last.version == token_chunk.version",
         "and True",
         "tests.test_rollouts.StepTest"
-        ".test_sample_over_a_swap_names_both_versions",
+        ".test_sample_generated_across_a_swap_has_both_versions",
     ),
     breaks.Break(
         "no sample is older than the bound",
@@ -37,8 +37,7 @@
         "return self.context.rule.allows(sample.oldest_version(), "
         "self.version)",
         "return True",
-        "tests.test_rollouts.StepTest"
-        ".test_samples_that_fell_behind_are_made_again",
+        "tests.test_rollouts.StepTest.test_stale_samples_are_generated_again",
     ),
     breaks.Break(
         "each sample is delivered once",
@@ -53,14 +52,14 @@
         'key = f"{PREFIX}{organisation}/{digest}"',
         'key = f"{PREFIX}{digest}"',
         "tests.test_serving.PlainCallTest"
-        ".test_keys_of_two_organisations_do_not_clash",
+        ".test_idempotency_keys_of_organisations_are_independent",
     ),
     breaks.Break(
         "no backend server sees a key",
         "serving/plainservices.py",
         'FORWARDED_HEADERS = ("accept", "accept-language", "content-type")',
         'FORWARDED_HEADERS = ("accept", "authorization", "content-type")',
-        "tests.test_breaks.KeyTest.test_key_dropped_at_the_entry_stays_dropped",
+        "tests.test_breaks.KeyTest.test_key_is_not_forwarded_to_servers",
     ),
     breaks.Break(
         "no backend server sees a key",
@@ -127,16 +126,15 @@
         "serving/generation.py",
         "if chunk.request_id != generate_request.request_id:",
         "if False:",
-        "tests.test_breaks.CrossedTest"
-        ".test_piece_of_another_answer_is_not_passed_on",
+        "tests.test_breaks.InvalidChunkTest"
+        ".test_chunk_of_another_response_is_rejected",
     ),
     breaks.Break(
         "whole answer to its own request",
         "serving/generation.py",
         "if chunk.start != position:",
         "if False:",
-        "tests.test_breaks.CrossedTest"
-        ".test_piece_that_comes_twice_is_not_passed_on",
+        "tests.test_breaks.InvalidChunkTest.test_repeated_chunk_is_rejected",
     ),
     breaks.Break(
         "whole answer to its own request",
@@ -165,7 +163,7 @@
         "is_same and claim.state is ClaimState.NOT_RUN",
         "is_same and claim.state is not ClaimState.DONE",
         "tests.test_serving.PlainCallTest"
-        ".test_retries_by_key_over_nodes_run_once",
+        ".test_retries_with_a_key_on_several_nodes_run_once",
     ),
     breaks.Break(
         "a leaving server gets no new work",
@@ -173,7 +171,7 @@
         "if not state.is_leaving and state.name not in requirements.excluded",
         "if state.name not in requirements.excluded",
         "tests.test_serving.GenerationTest"
-        ".test_leaving_engine_gets_nothing_new",
+        ".test_leaving_engine_gets_no_new_requests",
     ),
     breaks.Break(
         "a planned stop cuts no request",
@@ -181,7 +179,7 @@
         "while self.caller_api.active or self.sessions.open_sessions:",
         "while False:",
         "tests.test_serving.PlannedStopTest"
-        ".test_drain_cuts_no_request_and_loses_no_usage",
+        ".test_drain_interrupts_no_request_and_loses_no_usage",
     ),
     breaks.Break(
         "accepted configuration in force, never reverts",
--- a/src/kingcupscale/fakes/service.py
+++ b/src/kingcupscale/fakes/service.py
@@ -82,7 +82,7 @@
     ) -> message.Response:
         if request.path == scoring.SCORE_PATH:
             score = int(digest[:4], 16) / 0xFFFF
-            return message.json_response(scoring.ScoreAnswer(score))
+            return message.json_response(scoring.ScoreResponse(score))
         answer = ServiceAnswer(organisation, request.path, digest)
         return message.json_response(answer)
 
--- a/src/kingcupscale/rollouts/messages.py
+++ b/src/kingcupscale/rollouts/messages.py
@@ -140,7 +140,7 @@
 
 
 @attrs.frozen
-class StepAnswer:
+class StepResponse:
     """Progress of a step.
 
     Attributes:
@@ -153,7 +153,7 @@
 
 
 @attrs.frozen
-class FetchAnswer:
+class FetchResponse:
     """Complete groups within the staleness bound.
 
     Attributes:
--- a/src/kingcupscale/rollouts/publication.py
+++ b/src/kingcupscale/rollouts/publication.py
@@ -118,25 +118,25 @@
         published = PublishedVersion(
             trainer, service, version, self.clock.now(), keyvalue.new_token()
         )
-        answer = await keyvalue.put_resolved(
+        result = await keyvalue.put_resolved(
             self.store,
             key,
             codec.encode(published).decode(),
             entry.version if entry else keyvalue.ABSENT,
         )
-        if answer.written:
+        if result.written:
             events.log(
                 events.Event.WEIGHTS_PUBLISHED, trainer=trainer, version=version
             )
-        return answer.written
+        return result.written
 
     async def read(self) -> PublicationState:
         """Reads all published and staged versions in one call."""
-        answer = await self.store.scan("weights/")
+        scanned = await self.store.scan("weights/")
         state = PublicationState(
-            {}, {}, {e.key: e.version for e in answer.entries}
+            {}, {}, {e.key: e.version for e in scanned.entries}
         )
-        for entry in answer.entries:
+        for entry in scanned.entries:
             if entry.key.startswith(PUBLISHED_PREFIX):
                 published = codec.decode(PublishedVersion, entry.value)
                 state.published[published.trainer] = published
--- a/src/kingcupscale/rollouts/scoring.py
+++ b/src/kingcupscale/rollouts/scoring.py
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class ScoreAnswer:
+class ScoreResponse:
     """Response of a scoring service."""
 
     score: float
@@ -69,7 +69,7 @@
         call = plainservices.Call(self.service, SCORE_PATH, request, self.grant)
         response = await self.plain_service_client.call(call)
         try:
-            return codec.decode(ScoreAnswer, response.body).score
+            return codec.decode(ScoreResponse, response.body).score
         except (codec.DecodeError, orjson.JSONDecodeError) as e:
             raise errors.ServiceError(
                 errors.ResultCode.ANSWER_REJECTED,
--- a/src/kingcupscale/rollouts/service.py
+++ b/src/kingcupscale/rollouts/service.py
@@ -115,7 +115,7 @@
         elif step.specification != specification:
             raise errors.ServiceError(errors.ResultCode.STEP_CONFLICT)
         return message.json_response(
-            messages.StepAnswer(specification.step, step.remaining())
+            messages.StepResponse(specification.step, step.remaining())
         )
 
     async def _start(
@@ -128,7 +128,8 @@
         if len(open_steps) >= MAX_STEPS_PER_TRAINER:
             raise errors.ServiceError(
                 errors.ResultCode.QUEUE_FULL,
-                f"found {MAX_STEPS_PER_TRAINER} open steps, the limit; cancel one",
+                f"expected fewer than {MAX_STEPS_PER_TRAINER} open steps;"
+                " cancel one",
                 retry_after_s=1,
             )
         step = steps.Step(specification, self._make_context(grant))
@@ -201,7 +202,7 @@
         step = self._find(grant, body.step)
         step.cancel()
         return message.json_response(
-            messages.StepAnswer(body.step, step.remaining())
+            messages.StepResponse(body.step, step.remaining())
         )
 
     async def _publish(
--- a/src/kingcupscale/rollouts/step.py
+++ b/src/kingcupscale/rollouts/step.py
@@ -194,7 +194,7 @@
 
     async def fetch(
         self, request: messages.FetchRequest
-    ) -> messages.FetchAnswer:
+    ) -> messages.FetchResponse:
         """Returns complete groups, waiting until there is one.
 
         Raises:
@@ -209,7 +209,7 @@
         groups = self._fresh_groups(request.limit)
         self._record_staleness(groups)
         self.fetched_at = self.context.clock.monotonic()
-        return messages.FetchAnswer(groups, self.remaining() - len(groups))
+        return messages.FetchResponse(groups, self.remaining() - len(groups))
 
     async def _wait_for_change(self) -> None:
         if self.cancel_scope.cancel_called:
--- a/src/kingcupscale/rollouts/trainer.py
+++ b/src/kingcupscale/rollouts/trainer.py
@@ -107,11 +107,11 @@
         received: set[int] = set()
         await self._open(specification, received)
         while received != wanted:
-            answer = await self._fetch(specification, received)
-            if answer is None:
+            fetched = await self._fetch(specification, received)
+            if fetched is None:
                 await self._open(specification, received)
                 continue
-            for group in answer.groups:
+            for group in fetched.groups:
                 if group.group in received or group.group not in wanted:
                     self.statistics.repeated_groups += 1
                     continue
@@ -127,7 +127,7 @@
 
     async def _fetch(
         self, specification: messages.StepSpecification, received: Iterable[int]
-    ) -> messages.FetchAnswer | None:
+    ) -> messages.FetchResponse | None:
         """Fetches groups; returns None if the step must be opened again."""
         body = messages.FetchRequest(
             specification.step,
@@ -137,7 +137,7 @@
         )
         try:
             response = await self._post(messages.FETCH_PATH, body)
-            return codec.decode(messages.FetchAnswer, response.body)
+            return codec.decode(messages.FetchResponse, response.body)
         except (httpclient.RequestError, errors.ServiceError, ValueError):
             await self._switch_node()
             return None
--- a/src/kingcupscale/serving/claims.py
+++ b/src/kingcupscale/serving/claims.py
@@ -82,21 +82,21 @@
         self.node = node
 
     async def acquire(
-        self, organisation: str, text: str, fingerprint: str
+        self, organisation: str, idempotency_key: str, fingerprint: str
     ) -> AcquiredClaim | message.Response:
         """Claims a request, or returns the stored response to it.
 
         Args:
             organisation: The organisation that uses the key. Equal keys of
                 different organisations are independent.
-            text: The Idempotency-Key.
+            idempotency_key: The Idempotency-Key.
             fingerprint: Digest of the request.
 
         Raises:
             ServiceError: ``CLAIM_UNAVAILABLE``, ``IDEMPOTENCY_MISMATCH``,
                 ``IDEMPOTENCY_BUSY`` or ``IDEMPOTENCY_UNKNOWN``.
         """
-        digest = hashing.long(text.encode())
+        digest = hashing.long(idempotency_key.encode())
         key = f"{PREFIX}{organisation}/{digest}"
         claim = Claim(
             fingerprint, ClaimState.RUNNING, self.node, keyvalue.new_token()
@@ -121,12 +121,12 @@
         self, key: str, claim: Claim, version: int
     ) -> AcquiredClaim | None:
         text = codec.encode(claim).decode()
-        answer = await keyvalue.put_resolved(
+        result = await keyvalue.put_resolved(
             self.store, key, text, version, CLAIM_TTL_S
         )
-        if not answer.written:
+        if not result.written:
             return None
-        return AcquiredClaim(key, answer.version, claim)
+        return AcquiredClaim(key, result.version, claim)
 
     def _replay_response(
         self, entry: keyvalue.Entry | None, fingerprint: str
@@ -156,18 +156,18 @@
         )
 
     async def store_response(
-        self, acquired: AcquiredClaim, answer: message.Response
+        self, acquired: AcquiredClaim, response: message.Response
     ) -> None:
         """Stores the response for the caller's retries."""
         body = None
-        if len(answer.body) <= MAX_STORED_BODY_BYTES:
-            body = base64.b64encode(answer.body).decode()
+        if len(response.body) <= MAX_STORED_BODY_BYTES:
+            body = base64.b64encode(response.body).decode()
         claim = attrs.evolve(
             acquired.claim,
             state=ClaimState.DONE,
             token=keyvalue.new_token(),
-            status=answer.status,
-            content_type=answer.headers.get("content-type", ""),
+            status=response.status,
+            content_type=response.headers.get("content-type", ""),
             body=body,
         )
         await self._write_outcome(acquired, claim)
@@ -184,7 +184,7 @@
     ) -> None:
         """Writes the outcome of a request.
 
-        If the write fails, retries are answered that the outcome is unknown.
+        If the write fails, the outcome stays unknown to retries.
         """
         text = codec.encode(claim).decode()
         try:
--- a/src/kingcupscale/serving/completion.py
+++ b/src/kingcupscale/serving/completion.py
@@ -94,7 +94,7 @@
         self.model = model
         self.is_chat = is_chat
         self.created = created
-        self.answer_id = f"cmpl-{uuid.uuid4().hex}"
+        self.response_id = f"cmpl-{uuid.uuid4().hex}"
 
     def full_body(self, text: str, prompt_tokens: int, tokens: int) -> bytes:
         """Returns the body of a response that is not streamed."""
@@ -135,7 +135,7 @@
         self, kind: str, choice: dict[str, object], usage: object
     ) -> bytes:
         body = {
-            "id": self.answer_id,
+            "id": self.response_id,
             "object": kind,
             "created": self.created,
             "model": self.model,
--- a/src/kingcupscale/serving/generation.py
+++ b/src/kingcupscale/serving/generation.py
@@ -114,11 +114,11 @@
             ServiceError: If the response could not be completed.
         """
         pool = self.pools.get(job.service, document.ServiceKind.ENGINE)
-        pool.budget.record_request()
+        pool.retry_budget.record_request()
         received: list[str] = []
         excluded: set[str] = set()
         for attempt in range(MAX_ATTEMPTS):
-            if attempt and not pool.budget.try_spend():
+            if attempt and not pool.retry_budget.try_spend():
                 break
             slot_request = self._make_slot_request(job, excluded, len(received))
             try:
--- a/src/kingcupscale/serving/plainservices.py
+++ b/src/kingcupscale/serving/plainservices.py
@@ -85,7 +85,7 @@
             ServiceError: Its ``run`` says whether the call may have run.
         """
         pool = self.pools.get(call.service, document.ServiceKind.PLAIN)
-        pool.budget.record_request()
+        pool.retry_budget.record_request()
         started_at = self.clock.monotonic()
         response = await self._call_once(pool, call)
         total_ms = 1000 * (self.clock.monotonic() - started_at)
@@ -100,8 +100,8 @@
     async def _call_once(
         self, pool: services.ServicePool, call: Call
     ) -> message.Response:
-        text = call.request.headers.get(IDEMPOTENCY_HEADER, "")
-        if len(text) > IDEMPOTENCY_KEY_MAX_CHARACTERS:
+        idempotency_key = call.request.headers.get(IDEMPOTENCY_HEADER, "")
+        if len(idempotency_key) > IDEMPOTENCY_KEY_MAX_CHARACTERS:
             raise errors.ServiceError(
                 errors.ResultCode.HEADER_INVALID,
                 f"{IDEMPOTENCY_HEADER}: expected at most"
@@ -109,15 +109,15 @@
             )
         if _is_idempotent(pool.service, call.request):
             return await self._route(pool, call, is_idempotent=True)
-        if not text:
+        if not idempotency_key:
             return await self._route(pool, call, is_idempotent=False)
-        return await self._call_claimed(pool, call, text)
+        return await self._call_claimed(pool, call, idempotency_key)
 
     async def _call_claimed(
-        self, pool: services.ServicePool, call: Call, text: str
+        self, pool: services.ServicePool, call: Call, idempotency_key: str
     ) -> message.Response:
         acquired = await self.claim_store.acquire(
-            call.grant.organisation, text, _fingerprint(call)
+            call.grant.organisation, idempotency_key, _fingerprint(call)
         )
         if isinstance(acquired, message.Response):
             return acquired
@@ -137,7 +137,7 @@
     ) -> message.Response:
         excluded: set[str] = set()
         for attempt in range(MAX_ATTEMPTS):
-            if attempt and not pool.budget.try_spend():
+            if attempt and not pool.retry_budget.try_spend():
                 break
             slot_request = self._make_slot_request(call, excluded)
             async with pool.scheduler.slot(slot_request) as state:
--- a/src/kingcupscale/serving/routing.py
+++ b/src/kingcupscale/serving/routing.py
@@ -17,6 +17,7 @@
 LOAD_DECAY_S = 2.0
 MIN_EJECTION_S = 1.0
 MAX_EJECTION_S = 30.0
+# Fraction of a regular server's slots for requests that accept cheap servers.
 CHEAP_SLOT_FRACTION = 0.75
 MAX_AFFINITY_CANDIDATES = 2
 BOUNDED_LOAD_FACTOR = 1.25
--- a/src/kingcupscale/serving/services.py
+++ b/src/kingcupscale/serving/services.py
@@ -19,7 +19,7 @@
         service: Configuration of the service.
         router: Chooses the servers.
         scheduler: Queues the requests.
-        budget: Limits the retries.
+        retry_budget: Limits the retries.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         self.service = document.Service(document.ServiceKind.PLAIN)
         self.router = routing.Router(node, clock, rng)
         self.scheduler = scheduler.Scheduler(self.router, clock)
-        self.budget = retrybudget.RetryBudget(clock)
+        self.retry_budget = retrybudget.RetryBudget(clock)
 
 
 class Services:
--- a/tests/test_breaks.py
+++ b/tests/test_breaks.py
@@ -1,4 +1,7 @@
-"""Tests that a single broken mechanism must turn red."""
+"""Tests that each fail when one safety mechanism is removed.
+
+bench/mutations.py removes the mechanisms one by one and runs the tests.
+"""
 
 import unittest
 
@@ -15,8 +18,8 @@
 from tests import virtual
 
 
-class Twice:
-    """A node that answers every fetch with the same group, then the rest."""
+class RepeatingNode:
+    """A node that sends the same group twice before the remaining one."""
 
     def __init__(self):
         self.fetches = 0
@@ -27,7 +30,7 @@
         self.fetches += 1
         numbers = [0] if self.fetches < 3 else [0, 1]
         groups = [messages.Group(number, []) for number in numbers]
-        return message.json_response(messages.FetchAnswer(groups, 0))
+        return message.json_response(messages.FetchResponse(groups, 0))
 
 
 class TrainerTest(unittest.TestCase):
@@ -35,7 +38,7 @@
     async def test_repeated_group_is_dropped(self):
         size = clusters.ClusterSettings(nodes=1, trainers=1)
         async with clusters.running(size) as cluster:
-            cluster.network.serve("twice", "twice:80", Twice())
+            cluster.network.serve("twice", "twice:80", RepeatingNode())
             client = trainers.TrainerClient(
                 cluster.http_client,
                 ["twice:80"],
@@ -49,7 +52,7 @@
 
 
 class KeyTest(unittest.TestCase):
-    def test_key_dropped_at_the_entry_stays_dropped(self):
+    def test_key_is_not_forwarded_to_servers(self):
         request = message.Request(
             "POST", "/x", "", {"authorization": "Bearer kc.a.b", "cookie": "c"}
         )
@@ -61,8 +64,8 @@
         self.assertNotIn("cookie", sent.headers)
 
 
-class Impostor:
-    """An engine that answers the right tokens under another id."""
+class CrossedEngine:
+    """An engine whose responses carry the id of another request."""
 
     async def __call__(self, request):
         asked = orjson.loads(request.body)
@@ -73,41 +76,43 @@
         return message.Response(200, {}, body)
 
 
-class Stutterer:
-    """An engine that sends its first piece twice."""
+class RepeatingEngine:
+    """An engine that sends its first chunk twice."""
 
     def __init__(self, inner):
         self.inner = inner
 
     async def __call__(self, request):
         response = await self.inner(request)
-        response.chunks = self._stutter(response.chunks)
+        response.chunks = self._repeat_first_chunk(response.chunks)
         return response
 
-    async def _stutter(self, chunks):
+    async def _repeat_first_chunk(self, chunks):
         is_first = True
         async for chunk in chunks:
             yield chunk + chunk if is_first else chunk
             is_first = False
 
 
-class CrossedTest(unittest.TestCase):
+class InvalidChunkTest(unittest.TestCase):
     @virtual.on_virtual_time
-    async def test_piece_of_another_answer_is_not_passed_on(self):
+    async def test_chunk_of_another_response_is_rejected(self):
         size = clusters.ClusterSettings(nodes=1, trainers=0)
         async with clusters.running(size) as cluster:
-            cluster.network.serve("plume-1", "plume-1:80", Impostor())
+            cluster.network.serve("plume-1", "plume-1:80", CrossedEngine())
             for _ in range(6):
                 answer = await cluster.caller(0).complete()
                 self.assertEqual(answer.status, 200)
                 self.assertTrue(answer.is_right)
 
     @virtual.on_virtual_time
-    async def test_piece_that_comes_twice_is_not_passed_on(self):
+    async def test_repeated_chunk_is_rejected(self):
         size = clusters.ClusterSettings(nodes=1, trainers=0)
         async with clusters.running(size) as cluster:
             inner = cluster.world.engines["plume-1"]
-            cluster.network.serve("plume-1", "plume-1:80", Stutterer(inner))
+            cluster.network.serve(
+                "plume-1", "plume-1:80", RepeatingEngine(inner)
+            )
             for _ in range(8):
                 answer = await cluster.caller(0).complete(stream=True)
                 self.assertEqual(answer.status, 200)
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The examples in the documentation of the rules run."""
+"""Runs the examples in the docstrings of the scaling and staleness rules."""
 
 import doctest
 import unittest
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -1,4 +1,9 @@
-"""An hour without the key-value service, with traffic and restarts."""
+"""An outage of the key-value service for an hour.
+
+Callers and trainers send requests meanwhile, and one node after another
+crashes and restarts. Guards against nodes that stop admitting requests or
+cannot start without the service.
+"""
 
 import unittest
 
@@ -14,7 +19,7 @@
 
 class OutageTest(unittest.TestCase):
     @virtual.on_virtual_time
-    async def test_hour_of_outage_breaks_nothing(self):
+    async def test_store_outage_of_an_hour_violates_no_invariant(self):
         async with clusters.running(clusters.ClusterSettings()) as cluster:
             cluster.world.store.down = True
             names = cluster.node_names()
@@ -32,7 +37,7 @@
                     self.assertEqual(answer.status, 200)
                     answer = await caller.quote()
                     self.assertEqual(answer.status, 200)
-                # A majority of the others must be in reach of a start.
+                # A starting node must reach a majority of the other nodes.
                 await trio.sleep(ROUND_S / 2)
                 cluster.network.crash(names[number % len(names)])
                 await trio.sleep(ROUND_S / 2)
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -1,4 +1,8 @@
-"""Rollouts: fresh, whole, once; weights; trainers that change nodes."""
+"""Rollout steps and weight versions.
+
+Guards against stale, incomplete or repeated groups, and against samples with
+wrong weight versions, when nodes, engines or responses fail.
+"""
 
 import unittest
 
@@ -31,7 +35,7 @@
 class ReceivedTest(unittest.TestCase):
     @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
     @hypothesis.given(strategies.sets(strategies.integers(0, 60)))
-    def test_ranges_hold_just_the_numbers(self, numbers):
+    def test_ranges_contain_exactly_the_numbers(self, numbers):
         ranges = group_ranges.to_ranges(numbers)
         self.assertEqual(group_ranges.from_ranges(ranges, range(70)), numbers)
         gaps = [b[0] - a[1] for a, b in zip(ranges, ranges[1:], strict=False)]
@@ -45,7 +49,9 @@
         strategies.integers(0, 50),
         strategies.integers(0, 50),
     )
-    def test_allows_just_what_lies_within_the_bound(self, bound, at, trainer):
+    def test_allows_exactly_the_versions_within_the_bound(
+        self, bound, at, trainer
+    ):
         rule = staleness.StalenessRule(bound)
         self.assertEqual(rule.allows(at, trainer), trainer - at <= bound)
 
@@ -77,7 +83,7 @@
         virtualtime.run(main)
 
     @virtual.on_virtual_time
-    async def test_sample_over_a_swap_names_both_versions(self):
+    async def test_sample_generated_across_a_swap_has_both_versions(self):
         size = clusters.ClusterSettings(organisations=1)
         size.engine_speed.stream_tokens_per_s = 8
         async with clusters.running(size) as cluster:
@@ -96,7 +102,7 @@
             self.assertEqual(cluster.broken(), [])
 
     @virtual.on_virtual_time
-    async def test_samples_that_fell_behind_are_made_again(self):
+    async def test_stale_samples_are_generated_again(self):
         async with clusters.running(SLOW) as cluster:
             trainer = cluster.trainer(0)
             specification = callers.make_step("trainer-1", 0, 0, 3, 2, 60)
@@ -182,7 +188,7 @@
             self.assertLess(max(switched) - min(switched), 5)
 
     @virtual.on_virtual_time
-    async def test_failed_swap_never_gives_a_sample_a_guessed_version(self):
+    async def test_failed_swap_never_reports_a_wrong_version(self):
         async with clusters.running(SLOW) as cluster:
             await trio.sleep(10)
             cluster.world.engines["plume-1"].fail_swaps = True
@@ -210,7 +216,7 @@
                 await trainer.publish(1)
 
     @virtual.on_virtual_time
-    async def test_version_that_is_not_whole_waits_for_the_store(self):
+    async def test_incomplete_version_is_published_once_complete(self):
         async with clusters.running(SLOW) as cluster:
             cluster.world.weights.newest = 0
             trainer = cluster.trainer(0)
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,4 +1,8 @@
-"""Serving: refusals that are true, whole answers, one run at most."""
+"""Requests from callers to engines and plain services.
+
+Guards against refused requests that ran, incomplete or mixed-up responses, and
+non-idempotent calls that run twice, when servers or responses fail.
+"""
 
 import unittest
 
@@ -114,9 +118,7 @@
             ("path", "/services/shop-app/{}", "", False),
         ]
     )
-    def test_key_in_what_a_server_would_see_is_refused(
-        self, _, path, query, in_body
-    ):
+    def test_key_in_forwarded_data_is_refused(self, _, path, query, in_body):
         async def main():
             async with clusters.running(ONE_NODE) as cluster:
                 key = cluster.issued[0].text
@@ -134,7 +136,7 @@
         virtualtime.run(main)
 
     @virtual.on_virtual_time
-    async def test_open_route_needs_no_key_and_nothing_beside_it_is_open(self):
+    async def test_open_route_needs_no_key_and_other_paths_are_unknown(self):
         async with clusters.running(ONE_NODE) as cluster:
             route = {
                 "service": "shop-app",
@@ -160,7 +162,7 @@
             self.assertEqual(labels, {"org-customer-2"})
 
     @virtual.on_virtual_time
-    async def test_chat_stream_comes_in_pieces_with_an_end_of_its_own(self):
+    async def test_chat_stream_has_several_chunks_and_an_end_event(self):
         async with clusters.running(ONE_NODE) as cluster:
             body = {
                 "model": "plume-llm",
@@ -237,7 +239,7 @@
         virtualtime.run(main)
 
     @parameterized.parameterized.expand([(fault,) for fault in faults.Fault])
-    def test_retries_by_key_over_nodes_run_once(self, fault):
+    def test_retries_with_a_key_on_several_nodes_run_once(self, fault):
         async def main():
             place = ("node-1", "POST /quotes", 0)
             plan = faults.FaultPlan({place: fault})
@@ -252,7 +254,7 @@
         virtualtime.run(main)
 
     @virtual.on_virtual_time
-    async def test_retry_by_key_gets_the_first_answer(self):
+    async def test_retry_with_a_key_returns_the_first_response(self):
         async with clusters.running(ONE_NODE) as cluster:
             key = cluster.issued[0].text
             bodies = set()
@@ -270,7 +272,7 @@
             self.assertEqual(read_error(response)["code"], 1401)
 
     @virtual.on_virtual_time
-    async def test_claim_in_an_outage_is_refused_and_not_run(self):
+    async def test_claim_during_a_store_outage_is_refused_and_not_run(self):
         async with clusters.running(ONE_NODE) as cluster:
             cluster.world.store.down = True
             request = message.Request(
@@ -282,7 +284,7 @@
             self.assertEqual(executions(cluster), [])
 
     @virtual.on_virtual_time
-    async def test_keys_of_two_organisations_do_not_clash(self):
+    async def test_idempotency_keys_of_organisations_are_independent(self):
         async with clusters.running(ONE_NODE) as cluster:
             for issued in cluster.issued:
                 request = message.Request(
@@ -305,7 +307,7 @@
             (faults.Fault.REQUEST_LATE,),
         ]
     )
-    def test_broken_answer_is_made_whole_elsewhere(self, fault):
+    def test_failed_response_is_completed_on_another_engine(self, fault):
         async def main():
             place = ("node-1", "POST /generate", 0)
             plan = faults.FaultPlan({place: fault})
@@ -318,7 +320,7 @@
         virtualtime.run(main)
 
     @virtual.on_virtual_time
-    async def test_leaving_engine_gets_nothing_new(self):
+    async def test_leaving_engine_gets_no_new_requests(self):
         async with clusters.running(ONE_NODE) as cluster:
             cluster.world.directory.mark_leaving("plume-1:80")
             cluster.record.leaving["plume-1"] = cluster.clock.monotonic()
@@ -346,7 +348,7 @@
             self.assertLess(trio.current_time() - began_at, 1)
 
     @virtual.on_virtual_time
-    async def test_failing_engine_is_ejected_and_let_back(self):
+    async def test_failing_engine_is_ejected_and_readmitted(self):
         async with clusters.running(ONE_NODE) as cluster:
             cluster.network.crash("plume-1")
             for _ in range(10):
@@ -364,7 +366,7 @@
 
 class RetryBudgetTest(unittest.TestCase):
     @virtual.on_virtual_time
-    async def test_retries_stay_a_share_of_the_requests(self):
+    async def test_retries_are_limited_by_the_request_count(self):
         budget = retrybudget.RetryBudget(virtualtime.VirtualClock())
         taken = 0
         for _ in range(1000):
@@ -378,7 +380,7 @@
 
 class PlannedStopTest(unittest.TestCase):
     @virtual.on_virtual_time
-    async def test_drain_cuts_no_request_and_loses_no_usage(self):
+    async def test_drain_interrupts_no_request_and_loses_no_usage(self):
         size = clusters.ClusterSettings(trainers=0)
         size.engine_speed.stream_tokens_per_s = 4
         async with clusters.running(size) as cluster:
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -1,4 +1,4 @@
-"""A whole small session on virtual time keeps every promise."""
+"""Callers, trainers and usage reports together, on virtual time."""
 
 import unittest
 
