--- a/src/kingcupscale/configuration/editor.py
+++ b/src/kingcupscale/configuration/editor.py
@@ -12,20 +12,20 @@
 from kingcupscale.configuration import check
 from kingcupscale.configuration import document
 from kingcupscale.configuration import replica as replicas
-from kingcupscale.configuration import spreading
+from kingcupscale.configuration import replication
 from kingcupscale.peering import members as membership
 from kingcupscale.providers import calls
 from kingcupscale.providers import keyvalue
 
 SYSTEM_OPERATOR = "system"
 LOST_AFTER_S = 600.0
-UPKEEP_S = 5.0
+MAINTENANCE_INTERVAL_S = 5.0
 RETRY_AFTER_S = 2.0
 ATTEMPTS = 5
 
 
 @attrs.frozen
-class Accepted:
+class AcceptedChange:
     """An accepted change.
 
     Attributes:
@@ -86,20 +86,22 @@
     """Decides changes through the store and brings them into force.
 
     Args:
-        spreader: Brings changes to every node.
+        replicator: Brings changes to every node.
         clock: Tells the time.
     """
 
     def __init__(
-        self, spreader: spreading.Spreader, clock: clocks.Clock
+        self,
+        replicator: replication.ConfigurationReplicator,
+        clock: clocks.Clock,
     ) -> None:
-        self.spreader = spreader
-        self.replica: replicas.Replica = spreader.replica
-        self.admission: admissions.Admission = spreader.admission
-        self.members: membership.Members = spreader.members
+        self.replicator = replicator
+        self.replica: replicas.Replica = replicator.replica
+        self.admission: admissions.Admission = replicator.admission
+        self.members: membership.Members = replicator.members
         self.clock = clock
 
-    async def propose(self, proposal: Proposal) -> Accepted:
+    async def propose(self, proposal: Proposal) -> AcceptedChange:
         """Accepts a change or says why not.
 
         Raises:
@@ -108,7 +110,7 @@
                 ``STORE_UNAVAILABLE`` or ``CONFIGURATION_UNDECIDED``.
         """
         change = await self._decide(proposal)
-        reached = await self.spreader.push()
+        reached = await self.replicator.push()
         self._log_accepted(change)
         await self._compact()
         return self._accepted(reached, proposal.without_majority)
@@ -121,13 +123,13 @@
             self._check_revision(proposal)
             change = self._make_change(proposal)
             if await self._append(change):
-                self.replica.absorb(changes.Batch(None, [change]))
+                self.replica.apply_batch(changes.Batch(None, [change]))
                 return change
         raise ConflictError(proposal, self.replica.revision, [])
 
     async def _read_store(self) -> None:
         try:
-            await self.spreader.read_store()
+            await self.replicator.read_store()
         except calls.PlatformError as e:
             raise errors.ServiceError(
                 errors.ResultCode.STORE_UNAVAILABLE,
@@ -191,7 +193,7 @@
 
     async def _append(self, change: changes.Change) -> bool:
         try:
-            return await self.spreader.log.append(change)
+            return await self.replicator.log.append(change)
         except calls.PlatformError as e:
             raise errors.ServiceError(
                 errors.ResultCode.CONFIGURATION_UNDECIDED,
@@ -212,7 +214,7 @@
 
     async def _compact(self) -> None:
         try:
-            await self.spreader.log.compact(
+            await self.replicator.log.compact(
                 self.replica.revision, self.replica.entries
             )
         except calls.PlatformError as e:
@@ -224,7 +226,7 @@
 
     def _accepted(
         self, reached: list[str], without_majority: bool = False
-    ) -> Accepted:
+    ) -> AcceptedChange:
         """Returns the answer to a change that members have confirmed.
 
         Raises:
@@ -243,19 +245,21 @@
                 RETRY_AFTER_S,
             )
         pending = {m.name for m in self.members.alive()} - set(reached)
-        return Accepted(self.replica.revision, sorted(reached), sorted(pending))
+        return AcceptedChange(
+            self.replica.revision, sorted(reached), sorted(pending)
+        )
 
-    async def confirm(self) -> Accepted:
+    async def confirm(self) -> AcceptedChange:
         """Brings the newest revision to every member and tells who has it.
 
         Raises:
             ServiceError: ``MAJORITY_LOST`` if too few have it.
         """
-        return self._accepted(await self.spreader.push())
+        return self._accepted(await self.replicator.push())
 
     async def withdraw_in_emergency(
         self, key_id: str, operator: str, reason: str
-    ) -> Accepted:
+    ) -> AcceptedChange:
         """Withdraws a key without the store.
 
         The answer names the nodes that have confirmed it; on the others the
@@ -273,20 +277,20 @@
             operator=operator,
             reason=reason,
         )
-        return self._accepted(await self.spreader.push())
+        return self._accepted(await self.replicator.push())
 
-    async def run_upkeep(self) -> None:
+    async def run_maintenance(self) -> None:
         """Enters new nodes, removes lost ones, folds withdrawn keys in.
 
         Only the watchers of a zone do, for all of its nodes at once, so that
         a fleet that starts together does not race for each revision.
         """
         while True:
-            if self.spreader.is_watcher():
-                await self._propose_upkeep(self._upkeep_entries())
-            await self.clock.sleep(UPKEEP_S)
+            if self.replicator.is_watcher():
+                await self._propose_maintenance(self._maintenance_entries())
+            await self.clock.sleep(MAINTENANCE_INTERVAL_S)
 
-    def _upkeep_entries(self) -> dict[str, Any]:
+    def _maintenance_entries(self) -> dict[str, Any]:
         zone = self.members.me.zone
         entries: dict[str, Any] = {
             f"nodes/{member.name}": {"zone": zone}
@@ -295,7 +299,7 @@
             and member.name not in self.replica.document.nodes
         }
         entries.update({f"nodes/{name}": None for name in self._lost_nodes()})
-        keys = self.spreader.unfolded()
+        keys = self.replicator.pending_withdrawals()
         entries.update({f"keys/{key_id}": None for key_id in keys})
         return entries
 
@@ -310,7 +314,7 @@
             and now - self.members.changed_at[name] > LOST_AFTER_S
         ]
 
-    async def _propose_upkeep(self, entries: dict[str, Any]) -> None:
+    async def _propose_maintenance(self, entries: dict[str, Any]) -> None:
         if not entries:
             return
         proposal = Proposal(
--- a/src/kingcupscale/node.py
+++ b/src/kingcupscale/node.py
@@ -18,7 +18,7 @@
 from kingcupscale.configuration import keys
 from kingcupscale.configuration import log
 from kingcupscale.configuration import replica
-from kingcupscale.configuration import spreading
+from kingcupscale.configuration import replication
 from kingcupscale.duties import candidates
 from kingcupscale.duties import journal
 from kingcupscale.duties import lease
@@ -156,7 +156,7 @@
             self.clock,
             self.settings.timings.isolation_bound_s,
         )
-        self.spreader = spreading.Spreader(
+        self.replicator = replication.ConfigurationReplicator(
             self.replica,
             self.admission,
             self.members,
@@ -167,7 +167,7 @@
             self.clock,
             self.surroundings.rng,
         )
-        self.editor = editor.Editor(self.spreader, self.clock)
+        self.editor = editor.Editor(self.replicator, self.clock)
 
     def _make_serving(self) -> None:
         http_client = self.surroundings.http_client
@@ -223,7 +223,7 @@
 
     def _make_operating(self) -> None:
         reporter = handover.HandoverReporter(
-            self.spreader, self.pools, self.store, self.clock
+            self.replicator, self.pools, self.store, self.clock
         )
         self.operators = api.OperatorApi(
             self.settings.operators,
@@ -247,16 +247,16 @@
         self.stopped.set()
 
     async def _run_configured(self, nursery: trio.Nursery) -> None:
-        await self.spreader.catch_up()
+        await self.replicator.catch_up()
         events.log(
             events.Event.NODE_STARTED,
             node=self.settings.name,
             incarnation=self.incarnation,
             revision=self.replica.revision,
         )
-        nursery.start_soon(self.spreader.run)
-        nursery.start_soon(self.spreader.run_directory)
-        nursery.start_soon(self.editor.run_upkeep)
+        nursery.start_soon(self.replicator.run)
+        nursery.start_soon(self.replicator.run_vm_list_polling)
+        nursery.start_soon(self.editor.run_maintenance)
         for shard in range(self.settings.usage_shards):
             self._start_usage_duty(shard, nursery)
         while True:
@@ -361,14 +361,14 @@
                     reason=e.reason,
                 )
 
-    def read_status(self) -> messages.StatusAnswer:
+    def read_status(self) -> messages.StatusResponse:
         """Returns how the node stands."""
         now = self.clock.monotonic()
-        return messages.StatusAnswer(
+        return messages.StatusResponse(
             self.settings.name,
             self.settings.zone,
             self.incarnation,
-            self.admission.is_open() and not self.caller_api.is_unready,
+            self.admission.is_admitting() and not self.caller_api.is_unready,
             self.caller_api.is_unready,
             self.replica.revision,
             self.admission.confirmed_age_s(),
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -130,21 +130,23 @@
         replica = replicas.Replica("node")
         for revision in (1, 2, 3):
             entries = {f"organisations/o{revision}": {"label": "o"}}
-            replica.absorb(
+            replica.apply_batch(
                 changes.Batch(None, [make_change(revision, entries)])
             )
-        self.assertFalse(replica.absorb(batch))
+        self.assertFalse(replica.apply_batch(batch))
         self.assertEqual(replica.revision, 3)
         self.assertEqual(len(replica.document.organisations), 3)
 
     def test_peer_that_is_far_behind_gets_a_snapshot(self):
         replica = replicas.Replica("node")
         for revision in range(1, replicas.RECENT_CHANGES + 10):
-            replica.absorb(changes.Batch(None, [make_change(revision, {})]))
+            replica.apply_batch(
+                changes.Batch(None, [make_change(revision, {})])
+            )
         batch = replica.batch_since(1)
         self.assertEqual(batch.snapshot.revision, replica.revision)
         other = replicas.Replica("other")
-        other.absorb(batch)
+        other.apply_batch(batch)
         self.assertEqual(other.revision, replica.revision)
 
 
@@ -245,7 +247,7 @@
             cluster.network.cut_off("node-3")
             await trio.sleep(30)
             states = {
-                name: running.node.admission.is_open()
+                name: running.node.admission.is_admitting()
                 for name, running in cluster.nodes.items()
             }
             self.assertEqual(
@@ -253,7 +255,9 @@
             )
             cluster.network.heal()
             await trio.sleep(20)
-            self.assertTrue(cluster.nodes["node-3"].node.admission.is_open())
+            self.assertTrue(
+                cluster.nodes["node-3"].node.admission.is_admitting()
+            )
 
     @virtual.on_virtual_time
     async def test_store_outage_for_everyone_stops_nobody(self):
@@ -265,7 +269,7 @@
             cluster.network.crash("node-2")
             await trio.sleep(30)
             admission = cluster.nodes["node-2"].node.admission
-            self.assertTrue(admission.is_open())
+            self.assertTrue(admission.is_admitting())
 
     @virtual.on_virtual_time
     async def test_minority_that_reaches_the_store_accepts_no_change(self):
@@ -293,10 +297,10 @@
             cluster.network.cut_off("node-3")
             await trio.sleep(30)
             node = cluster.nodes["node-3"].node
-            self.assertFalse(node.admission.is_open())
+            self.assertFalse(node.admission.is_admitting())
             cluster.network.heal()
             await trio.sleep(30)
-            self.assertTrue(node.admission.is_open())
+            self.assertTrue(node.admission.is_admitting())
             self.assertGreater(node.replica.revision, 0)
 
     @virtual.on_virtual_time
@@ -335,11 +339,11 @@
             for _ in range(100):
                 await trio.sleep(0.1)
                 admission = cluster.nodes["node-5"].node.admission
-                self.assertFalse(admission.is_open())
+                self.assertFalse(admission.is_admitting())
             cluster.network.heal()
             await trio.sleep(30)
             node = cluster.nodes["node-5"].node
-            self.assertTrue(node.admission.is_open())
+            self.assertTrue(node.admission.is_admitting())
             self.assertIn("customer-1-key", node.replica.withdrawn)
 
     @virtual.on_virtual_time
@@ -348,9 +352,9 @@
             cluster.world.store.down = True
             await trio.sleep(20)
             admission = cluster.nodes["node-3"].node.admission
-            self.assertTrue(admission.is_open())
+            self.assertTrue(admission.is_admitting())
             cluster.network.pause("node-3", 20)
             await trio.sleep(20)
-            self.assertFalse(admission.is_open())
+            self.assertFalse(admission.is_admitting())
             await trio.sleep(5)
-            self.assertTrue(admission.is_open())
+            self.assertTrue(admission.is_admitting())
