--- a/bench/matrix.py
+++ b/bench/matrix.py
@@ -113,7 +113,7 @@
 
 
 def choose_places(
-    steps: list[faults.Step], most: int
+    steps: list[faults.Step], max_places: int
 ) -> dict[faults.Place, faults.Step]:
     """Returns up to so many evenly spaced calls of each kind."""
     by_kind: dict[tuple[str, str], list[faults.Step]] = {}
@@ -121,7 +121,7 @@
         by_kind.setdefault((step.caller, step.operation), []).append(step)
     places = {}
     for kind, found in by_kind.items():
-        count = min(most, len(found))
+        count = min(max_places, len(found))
         for index in range(count):
             number = index * len(found) // count
             places[*kind, number] = found[number]
@@ -152,8 +152,8 @@
     return pairs
 
 
-def play(cell: Cell) -> Result:
-    """Plays one cell."""
+def run_cell(cell: Cell) -> Result:
+    """Runs one cell in virtual time."""
     plan = faults.FaultPlan(dict(cell.faults))
     session = sessions.SESSIONS[cell.session]
     try:
@@ -173,13 +173,18 @@
 
 
 def run(
-    names: list[str], most: int, pairs: int, share: int, seed: int, jobs: int
+    names: list[str],
+    max_places: int,
+    pairs: int,
+    share: int,
+    seed: int,
+    jobs: int,
 ) -> Report:
     """Runs the matrix.
 
     Args:
         names: The sessions.
-        most: Places of each kind of call.
+        max_places: Places of each kind of call.
         pairs: Runs with two faults.
         share: Runs to draw; 0 for all.
         seed: Chooses the pairs and the share.
@@ -187,7 +192,7 @@
     """
     rng = random.Random(seed)
     steps = {name: find_steps(name) for name in names}
-    places = {name: choose_places(steps[name], most) for name in names}
+    places = {name: choose_places(steps[name], max_places) for name in names}
     cells = [c for name in names for c in make_cells(name, places[name])]
     doubles = make_pairs(cells, pairs, rng)
     if share:
@@ -212,9 +217,9 @@
 
 def _play_all(runs: list[Cell], jobs: int) -> list[Result]:
     if jobs == 1:
-        return [play(cell) for cell in runs]
+        return [run_cell(cell) for cell in runs]
     with futures.ProcessPoolExecutor(jobs) as pool:
-        return list(pool.map(play, runs, chunksize=4))
+        return list(pool.map(run_cell, runs, chunksize=4))
 
 
 def main() -> int:
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -29,14 +29,14 @@
 class MatrixTest(unittest.TestCase):
     @parameterized.parameterized.expand(FOUND)
     def test_cell_once_broken_stays_whole(self, session, strikes):
-        result = matrix.play(matrix.Cell(session, strikes))
+        result = matrix.run_cell(matrix.Cell(session, strikes))
         self.assertEqual(result.broken, [])
 
     @parameterized.parameterized.expand([(name,) for name in sessions.SESSIONS])
     def test_no_fault_breaks_a_promise(self, session):
         report = matrix.run(
             [session],
-            most=matrix.PLACES_PER_OPERATION,
+            max_places=matrix.PLACES_PER_OPERATION,
             pairs=PAIRS // len(sessions.SESSIONS),
             share=SINGLES // len(sessions.SESSIONS),
             seed=SEED,
