--- a/deploy/node.py
+++ b/deploy/node.py
@@ -1,4 +1,7 @@
-"""Starts a node from a checkout; the platform's build sets up the rest."""
+"""Starts a node from a source checkout.
+
+The build command in the deploy file sets up the rest of the environment.
+"""
 
 import pathlib
 import sys
--- a/src/kingcupscale/cli.py
+++ b/src/kingcupscale/cli.py
@@ -1,4 +1,4 @@
-"""The command line: ``kingcupscale COMMAND``."""
+"""The ``kingcupscale`` command: parses arguments and maps errors to codes."""
 
 import argparse
 from collections.abc import Sequence
@@ -15,12 +15,12 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Returns the parser of the whole command line."""
+    """Returns the argument parser with all subcommands."""
     parser = argparse.ArgumentParser(
         prog="kingcupscale",
         description="A rollout service for reinforcement learning.",
-        epilog="Exit codes: 0 done, 1 refused or not right, 2 wrong usage,"
-        " 3 the node does not answer.",
+        epilog="Exit codes: 0 success, 1 refused or invalid, 2 wrong usage,"
+        " 3 no response from the node.",
     )
     commands = parser.add_subparsers(
         dest="command", required=True, metavar="COMMAND"
@@ -35,10 +35,10 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Runs one command.
+    """Runs one subcommand.
 
     Args:
-        argv: The words after the program's name; None for the process's own.
+        argv: The arguments without the program name; None for ``sys.argv``.
 
     Returns:
         The exit code.
--- a/src/kingcupscale/commands/__init__.py
+++ b/src/kingcupscale/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The subcommands of the command line, a module for each concern."""
+"""The subcommands of the ``kingcupscale`` command."""
--- a/src/kingcupscale/commands/config.py
+++ b/src/kingcupscale/commands/config.py
@@ -1,4 +1,4 @@
-"""``config``: checking, showing and changing the configuration."""
+"""The ``config`` subcommands: check, show, diff and apply a configuration."""
 
 import argparse
 from typing import Any
@@ -14,43 +14,55 @@
 
 
 def add_parser(commands: Any) -> None:
-    """Adds the subcommand."""
-    parser = commands.add_parser("config", help="check, show, diff, apply")
+    """Adds the ``config`` subcommands."""
+    parser = commands.add_parser(
+        "config", help="check, show, diff or apply a configuration"
+    )
     actions = parser.add_subparsers(dest="action", required=True)
-    checking = actions.add_parser("check", help="check a file, no node needed")
-    checking.add_argument("file")
-    checking.set_defaults(run=run_check)
-    showing = actions.add_parser("show", help="show what is in force")
-    connection.add_arguments(showing)
-    showing.set_defaults(run=run_show)
-    comparing = actions.add_parser("diff", help="show what would change")
-    comparing.add_argument("file")
-    connection.add_arguments(comparing)
-    comparing.set_defaults(run=run_diff)
-    applying = actions.add_parser("apply", help="bring a file into force")
-    applying.add_argument("file")
-    applying.add_argument(
+    check_parser = actions.add_parser(
+        "check", help="check a file without contacting a node"
+    )
+    check_parser.add_argument("file")
+    check_parser.set_defaults(run=run_check)
+    show_parser = actions.add_parser(
+        "show", help="show the configuration in force"
+    )
+    connection.add_arguments(show_parser)
+    show_parser.set_defaults(run=run_show)
+    diff_parser = actions.add_parser(
+        "diff", help="compare a file with the configuration in force"
+    )
+    diff_parser.add_argument("file")
+    connection.add_arguments(diff_parser)
+    diff_parser.set_defaults(run=run_diff)
+    apply_parser = actions.add_parser(
+        "apply", help="put a configuration file into force"
+    )
+    apply_parser.add_argument("file")
+    apply_parser.add_argument(
         "--if-revision",
         type=int,
         required=True,
         metavar="N",
-        help="the revision you looked at; another one is a conflict",
+        help="expected current revision; the change is refused if it differs",
     )
-    applying.add_argument("--reason", required=True)
-    applying.add_argument(
+    apply_parser.add_argument("--reason", required=True)
+    apply_parser.add_argument(
         "--without-majority",
         action="store_true",
-        help="accept although most nodes are out of reach, since they are gone",
+        help="accept the change without confirmation from most nodes, when"
+        " these are permanently lost",
     )
-    connection.add_arguments(applying)
-    applying.set_defaults(run=run_apply)
+    connection.add_arguments(apply_parser)
+    apply_parser.set_defaults(run=run_apply)
 
 
-def read_checked(path: str) -> dict[str, Any]:
-    """Returns a configuration file's tables, checked.
+def read_configuration(path: str) -> dict[str, Any]:
+    """Reads and validates a configuration file.
 
     Raises:
-        SettingsError: With every mistake in the file.
+        SettingsError: If the file is unreadable or invalid. Lists every
+            mistake.
     """
     tables = settings.read_toml(path)
     try:
@@ -62,37 +74,37 @@
 
 
 def run_check(arguments: argparse.Namespace) -> None:
-    """Checks a file."""
-    tables = read_checked(arguments.file)
+    """Validates a configuration file."""
+    tables = read_configuration(arguments.file)
     counts = [f"{len(entries)} {name}" for name, entries in tables.items()]
-    print(f"{arguments.file} is right: {', '.join(counts)}")
+    print(f"{arguments.file} is valid: {', '.join(counts)}")
 
 
 def run_show(arguments: argparse.Namespace) -> None:
-    """Shows the configuration in force."""
-    answer = connection.call(
+    """Prints the configuration in force."""
+    response = connection.call(
         arguments, "GET", "/configuration", messages.ConfigurationResponse
     )
-    text = orjson.dumps(answer.tables, option=orjson.OPT_INDENT_2).decode()
-    print(f"revision {answer.revision}\n{text}")
+    text = orjson.dumps(response.tables, option=orjson.OPT_INDENT_2).decode()
+    print(f"revision {response.revision}\n{text}")
 
 
 def run_diff(arguments: argparse.Namespace) -> None:
-    """Shows what a file would change."""
+    """Prints how a file differs from the configuration in force."""
     tables = settings.read_toml(arguments.file)
-    answer = connection.call(
+    response = connection.call(
         arguments,
         "POST",
         "/configuration/diff",
         messages.DiffResponse,
         messages.DiffRequest(tables),
     )
-    print(f"against revision {answer.revision}:")
-    print("\n".join(answer.lines) or "no difference")
+    print(f"compared with revision {response.revision}:")
+    print("\n".join(response.lines) or "no difference")
 
 
 def run_apply(arguments: argparse.Namespace) -> None:
-    """Brings a file into force."""
+    """Puts a configuration file into force."""
     body = messages.ApplyRequest(
         settings.read_toml(arguments.file),
         codec.NaturalInt(arguments.if_revision),
@@ -106,7 +118,7 @@
 
 
 def print_accepted(accepted: editor.AcceptedChange) -> None:
-    """Shows in which revision a change is in force and where."""
+    """Prints the revision of an accepted change and which nodes have it."""
     print(
         f"accepted as revision {accepted.revision}, in force on"
         f" {len(accepted.in_force)} nodes"
--- a/src/kingcupscale/commands/connection.py
+++ b/src/kingcupscale/commands/connection.py
@@ -1,4 +1,4 @@
-"""An operator's connection from the command line to a node."""
+"""Calls from the command line to a node's operator API, and exit codes."""
 
 import argparse
 import os
@@ -25,11 +25,11 @@
 
 
 class CommandError(Exception):
-    """A command that ends with a message and an exit code.
+    """An error that ends the command with a message and an exit code.
 
     Args:
-        text: What to show.
-        exit_code: What to exit with.
+        text: The message for standard error.
+        exit_code: The exit code of the process.
     """
 
     def __init__(self, text: str, exit_code: int) -> None:
@@ -39,12 +39,12 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Adds the options that name the node."""
+    """Adds the ``--node`` option."""
     parser.add_argument(
         "--node",
         default=os.environ.get(NODE_VARIABLE, ""),
         metavar="HOST:PORT",
-        help=f"operators' listener of a node (default: ${NODE_VARIABLE})",
+        help=f"address of a node's operator API (default: ${NODE_VARIABLE})",
     )
 
 
@@ -52,40 +52,42 @@
     arguments: argparse.Namespace,
     method: str,
     path: str,
-    kind: type[T],
+    response_type: type[T],
     body: Any = None,
 ) -> T:
-    """Sends one request to the node and returns its typed answer.
+    """Sends one request to the node and returns the decoded response.
 
     Raises:
-        CommandError: If the node refuses or cannot be reached.
+        CommandError: If no node or key is given, or the node refuses the
+            request or cannot be reached.
     """
     request = message.Request(method, path, "", _headers())
     if body is not None:
         request.body = codec.encode(body)
     if not arguments.node:
         raise CommandError(
-            f"name a node by --node HOST:PORT or ${NODE_VARIABLE}", EXIT_USAGE
+            f"no node given; use --node HOST:PORT or set ${NODE_VARIABLE}",
+            EXIT_USAGE,
         )
     try:
         response = trio.run(_fetch, arguments.node, request)
     except httpclient.RequestError as e:
-        state = "may have arrived" if e.may_have_been_sent else "did not leave"
+        state = "may have been sent" if e.may_have_been_sent else "was not sent"
         raise CommandError(
-            f"{arguments.node} did not answer ({e.reason}); the request"
+            f"no response from {arguments.node} ({e.reason}); the request"
             f" {state}",
             EXIT_UNREACHABLE,
         ) from None
     if response.status != 200:
-        raise CommandError(_describe(response), EXIT_REFUSED)
-    return codec.decode(kind, response.body)
+        raise CommandError(_format_error(response), EXIT_REFUSED)
+    return codec.decode(response_type, response.body)
 
 
 def _headers() -> dict[str, str]:
     key = os.environ.get(KEY_VARIABLE, "")
     if not key:
         raise CommandError(
-            f"put your operator key into ${KEY_VARIABLE}", EXIT_USAGE
+            f"no operator key given; set ${KEY_VARIABLE}", EXIT_USAGE
         )
     return {
         "authorization": f"Bearer {key}",
@@ -101,10 +103,10 @@
         await http_client.aclose()
 
 
-def _describe(response: message.Response) -> str:
+def _format_error(response: message.Response) -> str:
     try:
         error = orjson.loads(response.body)["error"]
         text = str(error["message"]).replace("; ", "\n  ")
-        return f"refused, {error['code']} {error['name']}:\n  {text}"
+        return f"request refused: {error['code']} {error['name']}:\n  {text}"
     except (ValueError, KeyError, TypeError):
-        return f"refused with status {response.status}"
+        return f"request refused with HTTP status {response.status}"
--- a/src/kingcupscale/commands/deploy.py
+++ b/src/kingcupscale/commands/deploy.py
@@ -1,4 +1,4 @@
-"""``deploy check``: is the deploy file sound?"""
+"""The ``deploy check`` subcommand: validates a deploy file."""
 
 import argparse
 from typing import Any
@@ -10,21 +10,23 @@
 
 
 def add_parser(commands: Any) -> None:
-    """Adds the subcommand."""
-    deploy = commands.add_parser("deploy", help="look after the deploy file")
-    actions = deploy.add_subparsers(
+    """Adds the ``deploy`` subcommands."""
+    deploy_parser = commands.add_parser("deploy", help="check the deploy file")
+    actions = deploy_parser.add_subparsers(
         dest="action", required=True, metavar="ACTION"
     )
-    check = actions.add_parser("check", help="say what is wrong with it")
-    check.add_argument("file", nargs="?", default=DEPLOY_FILE)
-    check.set_defaults(run=run_check)
+    check_parser = actions.add_parser(
+        "check", help="list the problems of a deploy file"
+    )
+    check_parser.add_argument("file", nargs="?", default=DEPLOY_FILE)
+    check_parser.set_defaults(run=run_check)
 
 
 def run_check(arguments: argparse.Namespace) -> None:
-    """Shows what is wrong with the deploy file.
+    """Validates a deploy file.
 
     Raises:
-        CommandError: If anything is.
+        CommandError: If the file is invalid. Lists every problem.
     """
     problems = deployfile.check(arguments.file)
     if problems:
@@ -32,4 +34,4 @@
             "\n".join([f"{arguments.file}:", *(f"  {p}" for p in problems)]),
             connection.EXIT_REFUSED,
         )
-    print(f"{arguments.file}: sound")
+    print(f"{arguments.file} is valid")
--- a/src/kingcupscale/commands/keys.py
+++ b/src/kingcupscale/commands/keys.py
@@ -1,4 +1,4 @@
-"""``keys``: granting, withdrawing and listing keys."""
+"""The ``keys`` subcommands: grant, withdraw and list API keys."""
 
 import argparse
 from typing import Any
@@ -12,41 +12,51 @@
 
 
 def add_parser(commands: Any) -> None:
-    """Adds the subcommand."""
-    parser = commands.add_parser("keys", help="grant, withdraw, list, operator")
+    """Adds the ``keys`` subcommands."""
+    parser = commands.add_parser(
+        "keys", help="grant, withdraw or list API keys"
+    )
     actions = parser.add_subparsers(dest="action", required=True)
-    granting = actions.add_parser("grant", help="make a key for a caller")
-    granting.add_argument("key_id", help="the key's name, shown in logs")
-    granting.add_argument("--organisation", required=True)
-    granting.add_argument(
-        "--class", dest="service_class", required=True, help="class of work"
+    grant_parser = actions.add_parser("grant", help="create a key for a caller")
+    grant_parser.add_argument(
+        "key_id", help="identifier of the key, written to logs"
+    )
+    grant_parser.add_argument("--organisation", required=True)
+    grant_parser.add_argument(
+        "--class", dest="service_class", required=True, help="service class"
     )
-    granting.add_argument("--trainer", default="")
-    granting.add_argument("--reason", required=True)
-    connection.add_arguments(granting)
-    granting.set_defaults(run=run_grant)
-    withdrawing = actions.add_parser("withdraw", help="end a key")
-    withdrawing.add_argument("key_id")
-    withdrawing.add_argument("--reason", required=True)
-    withdrawing.add_argument(
+    grant_parser.add_argument("--trainer", default="")
+    grant_parser.add_argument("--reason", required=True)
+    connection.add_arguments(grant_parser)
+    grant_parser.set_defaults(run=run_grant)
+    withdraw_parser = actions.add_parser(
+        "withdraw", help="withdraw a key on all nodes"
+    )
+    withdraw_parser.add_argument("key_id")
+    withdraw_parser.add_argument("--reason", required=True)
+    withdraw_parser.add_argument(
         "--emergency",
         action="store_true",
-        help="do it without the key-value service, which cannot be reached",
+        help="withdraw the key while the key-value store is unreachable",
     )
-    connection.add_arguments(withdrawing)
-    withdrawing.set_defaults(run=run_withdraw)
-    listing = actions.add_parser("list", help="list the keys in force")
-    connection.add_arguments(listing)
-    listing.set_defaults(run=run_list)
-    operator = actions.add_parser(
-        "operator", help="make an operator's key for the nodes' settings"
+    connection.add_arguments(withdraw_parser)
+    withdraw_parser.set_defaults(run=run_withdraw)
+    list_parser = actions.add_parser("list", help="list the valid keys")
+    connection.add_arguments(list_parser)
+    list_parser.set_defaults(run=run_list)
+    operator_parser = actions.add_parser(
+        "operator",
+        help="create an operator key and print its settings for the nodes",
     )
-    operator.add_argument("name")
-    operator.set_defaults(run=run_operator)
+    operator_parser.add_argument("name")
+    operator_parser.set_defaults(run=run_operator)
 
 
 def run_grant(arguments: argparse.Namespace) -> None:
-    """Makes a key, enters its digest and shows the key once."""
+    """Creates a key, stores its digest and prints the key.
+
+    Only the digest is stored, so the key cannot be shown again.
+    """
     key = keys.make_key(arguments.key_id)
     body = messages.GrantRequest(
         codec.Name(arguments.key_id),
@@ -63,11 +73,11 @@
         arguments, "POST", "/keys/grant", editor.AcceptedChange, body
     )
     config.print_accepted(accepted)
-    print(f"the key, shown only now:\n{key.text}")
+    print(f"the key (it cannot be shown again):\n{key.text}")
 
 
 def run_withdraw(arguments: argparse.Namespace) -> None:
-    """Ends a key everywhere."""
+    """Withdraws a key on all nodes."""
     body = messages.WithdrawRequest(
         codec.Name(arguments.key_id), arguments.reason, arguments.emergency
     )
@@ -78,11 +88,11 @@
 
 
 def run_list(arguments: argparse.Namespace) -> None:
-    """Lists the keys in force."""
-    answer = connection.call(
+    """Prints the valid keys, without their secrets."""
+    response = connection.call(
         arguments, "GET", "/configuration", messages.ConfigurationResponse
     )
-    for key_id, key in sorted(answer.tables.get("keys", {}).items()):
+    for key_id, key in sorted(response.tables.get("keys", {}).items()):
         trainer = f" trainer {key['trainer']}" if key.get("trainer") else ""
         print(
             f"{key_id}: {key['organisation']} {key['service_class']}{trainer}"
@@ -90,9 +100,9 @@
 
 
 def run_operator(arguments: argparse.Namespace) -> None:
-    """Makes an operator's key."""
+    """Creates an operator key and prints it with its settings entry."""
     key = keys.make_key(arguments.name)
-    print(f"the key, shown only now:\n{key.text}\n")
-    print("for the settings of every node:")
+    print(f"the key (it cannot be shown again):\n{key.text}\n")
+    print("add this to the settings file of every node:")
     print(f'[operators.{arguments.name}]\nsalt = "{key.salt}"')
     print(f'digest = "{key.digest}"')
--- a/src/kingcupscale/commands/operations.py
+++ b/src/kingcupscale/commands/operations.py
@@ -1,4 +1,4 @@
-"""``status``, ``handover`` and ``drain``."""
+"""The ``status``, ``handover`` and ``drain`` subcommands."""
 
 import argparse
 from typing import Any
@@ -8,38 +8,44 @@
 
 
 def add_parsers(commands: Any) -> None:
-    """Adds the subcommands."""
-    status = commands.add_parser("status", help="how a node stands")
-    connection.add_arguments(status)
-    status.set_defaults(run=run_status)
-    handover = commands.add_parser(
-        "handover", help="what one pair of operators gives to the next"
+    """Adds the three subcommands."""
+    status_parser = commands.add_parser(
+        "status", help="show the state of a node"
     )
-    connection.add_arguments(handover)
-    handover.set_defaults(run=run_handover)
-    drain = commands.add_parser("drain", help="stop a node, cutting nothing")
-    connection.add_arguments(drain)
-    drain.set_defaults(run=run_drain)
+    connection.add_arguments(status_parser)
+    status_parser.set_defaults(run=run_status)
+    handover_parser = commands.add_parser(
+        "handover", help="show the report for the next shift of operators"
+    )
+    connection.add_arguments(handover_parser)
+    handover_parser.set_defaults(run=run_handover)
+    drain_parser = commands.add_parser(
+        "drain", help="stop a node after its open requests have ended"
+    )
+    connection.add_arguments(drain_parser)
+    drain_parser.set_defaults(run=run_drain)
 
 
 def run_status(arguments: argparse.Namespace) -> None:
-    """Shows how a node stands."""
+    """Prints the state of a node."""
     status = connection.call(
         arguments, "GET", "/status", messages.StatusResponse
     )
     age = status.confirmed_age_s
     confirmed = "never" if age is None else f"{age:.1f} s ago"
-    print(f"node {status.node} in {status.zone}, run {status.incarnation}")
+    print(
+        f"node {status.node} in {status.zone}, incarnation {status.incarnation}"
+    )
     print(f"admitting: {status.admitting}, draining: {status.draining}")
     print(f"configuration: revision {status.revision}, confirmed {confirmed}")
     print(f"requests: {status.active_requests} open")
     for service, count in sorted(status.queued.items()):
-        print(f"  {count} wait for {service}")
+        print(f"  {count} queued for {service}")
     _print_list("members", [f"{m.name} {m.status}" for m in status.members])
     _print_list(
         "leases",
         [
-            f"{h.name} epoch {h.epoch}, {h.seconds_left} s"
+            f"{h.name} epoch {h.epoch}, {h.seconds_left} s left"
             for h in status.leases
         ],
     )
@@ -54,7 +60,7 @@
 
 
 def run_handover(arguments: argparse.Namespace) -> None:
-    """Shows the handover report."""
+    """Prints the report for the next shift of operators."""
     report = connection.call(
         arguments, "GET", "/handover", messages.HandoverResponse
     )
@@ -68,16 +74,19 @@
         )
         lines += [f"    {line}" for line in change.lines]
     _print_list("changes", lines)
-    _print_list("half done", report.half_done)
+    _print_list("unfinished operations", report.half_done)
     _print_list("leases", report.leases)
     _print_list("alarms", report.alarms)
     _print_list("usage not yet reported", report.unreported_usage)
 
 
 def run_drain(arguments: argparse.Namespace) -> None:
-    """Begins a node's planned stop."""
+    """Starts the planned stop of a node."""
     connection.call(arguments, "POST", "/drain", dict[str, bool])
-    print(f"{arguments.node} takes no new work and ends what it has")
+    print(
+        f"{arguments.node} is draining: it accepts no new requests and"
+        " stops after its open requests have ended"
+    )
 
 
 def _print_list(title: str, lines: list[str]) -> None:
--- a/src/kingcupscale/commands/processes.py
+++ b/src/kingcupscale/commands/processes.py
@@ -1,4 +1,4 @@
-"""``node``, ``standins`` and ``demo``."""
+"""The ``node``, ``standins`` and ``demo`` subcommands."""
 
 import argparse
 import sys
@@ -17,23 +17,24 @@
 
 
 def add_parsers(commands: Any) -> None:
-    """Adds the subcommands."""
-    node = commands.add_parser("node", help="run a node")
-    node.add_argument("--settings", required=True, metavar="FILE")
-    node.set_defaults(run=run_node)
-    stands = commands.add_parser(
-        "standins", help="run stand-ins for the platform and the back ends"
+    """Adds the three subcommands."""
+    node_parser = commands.add_parser("node", help="run a node")
+    node_parser.add_argument("--settings", required=True, metavar="FILE")
+    node_parser.set_defaults(run=run_node)
+    standins_parser = commands.add_parser(
+        "standins", help="run fakes of the platform and of the backend servers"
     )
-    stands.add_argument("--settings", required=True, metavar="FILE")
-    stands.set_defaults(run=run_standins)
-    show = commands.add_parser(
-        "demo", help="run a small deployment in one process and judge it"
+    standins_parser.add_argument("--settings", required=True, metavar="FILE")
+    standins_parser.set_defaults(run=run_standins)
+    demo_parser = commands.add_parser(
+        "demo",
+        help="run a small deployment in one process and check its results",
     )
-    show.add_argument("--seed", type=int, default=1)
-    show.add_argument(
-        "--json", action="store_true", help="print one JSON object last"
+    demo_parser.add_argument("--seed", type=int, default=1)
+    demo_parser.add_argument(
+        "--json", action="store_true", help="print the summary as a JSON object"
     )
-    show.set_defaults(run=run_demo)
+    demo_parser.set_defaults(run=run_demo)
 
 
 def run_node(arguments: argparse.Namespace) -> None:
@@ -44,23 +45,23 @@
 
 
 def run_standins(arguments: argparse.Namespace) -> None:
-    """Runs the stand-ins until interrupted."""
+    """Runs fakes of the platform and the backend servers until interrupted."""
     loaded = settings.load(standins.StandinSettings, arguments.settings)
-    tables = config.read_checked(loaded.configuration)
-    trio.run(_serve_standins, standins.Standins(tables, loaded.platform))
+    tables = config.read_configuration(loaded.configuration)
+    trio.run(_serve_fakes, standins.Standins(tables, loaded.platform))
 
 
-async def _serve_standins(served: standins.Standins) -> None:
+async def _serve_fakes(fakes: standins.Standins) -> None:
     async with trio.open_nursery() as nursery:
-        await nursery.start(served.run)
-        print("the stand-ins listen", flush=True)
+        await nursery.start(fakes.run)
+        print("the fakes are listening", flush=True)
 
 
 def run_demo(arguments: argparse.Namespace) -> None:
-    """Runs the demonstration and shows what it found.
+    """Runs the demonstration and prints its summary.
 
     Raises:
-        CommandError: If a check does not hold.
+        CommandError: If an invariant is broken.
     """
     progress = sys.stderr if arguments.json else sys.stdout
     session = demo.Demo(
@@ -73,7 +74,7 @@
         _print_summary(summary)
     if summary.invariants_broken:
         raise connection.CommandError(
-            f"{len(summary.invariants_broken)} checks do not hold",
+            f"{len(summary.invariants_broken)} invariants are broken",
             connection.EXIT_REFUSED,
         )
 
--- a/src/kingcupscale/commands/serving.py
+++ b/src/kingcupscale/commands/serving.py
@@ -1,4 +1,8 @@
-"""``serve``: a node on the platform."""
+"""The ``serve`` subcommand: runs a node on the platform.
+
+The platform starts nodes through ``main``, which imports only this subcommand
+to save memory.
+"""
 
 import argparse
 import os
@@ -17,10 +21,12 @@
 
 
 def add_parser(commands: Any) -> None:
-    """Adds the subcommand."""
-    serve = commands.add_parser("serve", help="run a node on the platform")
-    _add_arguments(serve)
-    serve.set_defaults(run=run_serve)
+    """Adds the ``serve`` subcommand."""
+    serve_parser = commands.add_parser(
+        "serve", help="run a node on the platform"
+    )
+    _add_arguments(serve_parser)
+    serve_parser.set_defaults(run=run_serve)
 
 
 def _add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -28,27 +34,29 @@
         "--settings",
         default=os.environ.get(SETTINGS_VARIABLE, ""),
         metavar="FILE",
-        help=f"the platform's settings; default: {SETTINGS_VARIABLE}",
+        help=f"settings file of the platform (default: ${SETTINGS_VARIABLE})",
     )
     parser.add_argument(
         "--metrics-port",
         type=int,
         default=0,
         metavar="PORT",
-        help="serve metrics on this port of the node's address; 0 for none",
+        help="port of the node's address to serve metrics on; 0 to disable",
     )
 
 
 def run_serve(arguments: argparse.Namespace) -> None:
     """Runs a node until SIGTERM."""
     loaded = settingsfile.load(arguments.settings)
-    lines = logs.to_standard_output(clocks.SystemClock())
-    options = process.Options(arguments.settings, arguments.metrics_port, lines)
+    log_writer = logs.to_standard_output(clocks.SystemClock())
+    options = process.Options(
+        arguments.settings, arguments.metrics_port, log_writer
+    )
     trio.run(process.run, loaded, options)
 
 
 def main() -> int:
-    """Runs a node without the rest of the command line in memory."""
+    """Runs a node without loading the other subcommands into memory."""
     parser = argparse.ArgumentParser(description="Runs a node.")
     _add_arguments(parser)
     try:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: exit codes, and mistakes shown without a traceback."""
+"""The command line: exit codes, and error messages without a traceback."""
 
 import contextlib
 import io
@@ -17,19 +17,19 @@
 KEY = {connection.KEY_VARIABLE: "kc.a.b", connection.NODE_VARIABLE: ""}
 
 
-def run(*words, environment=None):
-    """Returns the exit code and all that was shown."""
-    shown = io.StringIO()
+def run(*argv, environment=None):
+    """Returns the exit code and the output."""
+    output = io.StringIO()
     with (
-        contextlib.redirect_stdout(shown),
-        contextlib.redirect_stderr(shown),
+        contextlib.redirect_stdout(output),
+        contextlib.redirect_stderr(output),
         mock.patch.dict(os.environ, environment or {}),
     ):
         try:
-            code = cli.main(words)
+            code = cli.main(argv)
         except SystemExit as e:
             code = e.code
-    return code, shown.getvalue()
+    return code, output.getvalue()
 
 
 class CommandLineTest(unittest.TestCase):
@@ -54,22 +54,22 @@
                 ("status", "--node", "127.0.0.1:1"),
                 KEY,
                 3,
-                "did not leave",
+                "was not sent",
             ),
             (
-                "right file",
+                "valid file",
                 ("config", "check", str(SETTINGS / "dalmo.toml")),
                 {},
                 0,
-                "is right",
+                "is valid",
             ),
         ]
     )
-    def test_exit_code_and_message(self, _, words, environment, code, text):
-        result, shown = run(*words, environment=environment)
+    def test_exit_code_and_message(self, _, argv, environment, code, text):
+        result, output = run(*argv, environment=environment)
         self.assertEqual(result, code)
-        self.assertIn(text, shown)
-        self.assertNotIn("Traceback", shown)
+        self.assertIn(text, output)
+        self.assertNotIn("Traceback", output)
 
     @parameterized.parameterized.expand(
         [
@@ -82,11 +82,11 @@
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "file.toml"
             path.write_text(text, encoding="utf-8")
-            words = {
+            argv = {
                 "config": ("config", "check", str(path)),
                 "node": ("node", "--settings", str(path)),
             }[kind]
-            code, shown = run(*words)
+            code, output = run(*argv)
         self.assertEqual(code, 1)
-        lines = [line for line in shown.splitlines() if ", expected " in line]
-        self.assertEqual(len(lines), mistakes, shown)
+        lines = [line for line in output.splitlines() if ", expected " in line]
+        self.assertEqual(len(lines), mistakes, output)
