--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -64,7 +64,7 @@
     breaks.Break(
         "no backend server sees a key",
         "serving/callerapi.py",
-        "_check_exposure(request, text)\n        return grant",
+        "_check_exposure(request, key_text)\n        return grant",
         "return grant",
         "tests.test_serving.RefusalTest",
     ),
--- a/src/kingcupscale/serving/callerapi.py
+++ b/src/kingcupscale/serving/callerapi.py
@@ -97,10 +97,10 @@
             ServiceError: If the node admits no requests or the key is invalid.
         """
         self._check_admitting()
-        text = keys.read_bearer(request.headers)
-        grant = self.key_ring.authenticate(text)
+        key_text = keys.read_bearer(request.headers)
+        grant = self.key_ring.authenticate(key_text)
         request.headers.pop("authorization", None)
-        _check_exposure(request, text)
+        _check_exposure(request, key_text)
         return grant
 
     def _check_admitting(self) -> None:
@@ -156,7 +156,7 @@
     async def _serve_open(self, request: message.Request) -> message.Response:
         self._check_admitting()
         path = "/" + request.path.removeprefix(OPEN_PREFIX)
-        route = self._find_open(path)
+        route = self._find_open_route(path)
         organisations = self.key_ring.replica.document.organisations
         grant = keys.Grant(
             "",
@@ -167,7 +167,7 @@
         request.headers.pop("authorization", None)
         return await self._call_plain(request, OPEN_PREFIX, grant)
 
-    def _find_open(self, path: str) -> document.OpenRoute:
+    def _find_open_route(self, path: str) -> document.OpenRoute:
         segments = urllib.parse.unquote(path).split("/")
         if "." in segments or ".." in segments:
             raise errors.ServiceError(
@@ -191,13 +191,13 @@
             return await session.run(self.plain_service_client.call, call)
 
 
-def _check_exposure(request: message.Request, text: str) -> None:
+def _check_exposure(request: message.Request, key_text: str) -> None:
     """Rejects a request that would pass its key on to a backend server.
 
     Raises:
         ServiceError: ``KEY_EXPOSED``.
     """
-    in_headers = any(text in value for value in request.headers.values())
+    in_headers = any(key_text in value for value in request.headers.values())
     target = urllib.parse.unquote(f"{request.path}?{request.query}")
-    if text in target or in_headers or text.encode() in request.body:
+    if key_text in target or in_headers or key_text.encode() in request.body:
         raise errors.ServiceError(errors.ResultCode.KEY_EXPOSED)
--- a/src/kingcupscale/serving/routing.py
+++ b/src/kingcupscale/serving/routing.py
@@ -14,12 +14,15 @@
 from kingcupscale import rendezvous
 from kingcupscale.configuration import document
 
+# Time over which a load report loses its weight.
 LOAD_DECAY_S = 2.0
 MIN_EJECTION_S = 1.0
 MAX_EJECTION_S = 30.0
 # Fraction of a regular server's slots for requests that accept cheap servers.
 CHEAP_SLOT_FRACTION = 0.75
 MAX_AFFINITY_CANDIDATES = 2
+# Servers above this multiple of the mean utilisation get no requests by
+# affinity.
 BOUNDED_LOAD_FACTOR = 1.25
 
 
@@ -144,7 +147,7 @@
             free = [s for s in free if s.server.cheap] or free
         if requirements.affinity:
             return self._choose_by_affinity(free, requirements.affinity, now)
-        return self._choose_least_loaded(free, now)
+        return self._choose_less_loaded(free, now)
 
     def _has_free_slot(
         self, state: ServerState, requirements: ServerRequirements, now: float
@@ -161,8 +164,8 @@
     ) -> ServerState:
         """Returns a server that probably caches the prefix.
 
-        Falls back to the least loaded server if the preferred ones exceed the
-        mean utilisation by more than ``BOUNDED_LOAD_FACTOR``.
+        Falls back to the less loaded of two random servers if the preferred
+        ones exceed ``BOUNDED_LOAD_FACTOR`` times the mean utilisation.
         """
         by_name = {state.name: state for state in free}
         mean = sum(s.utilisation(now) for s in free) / len(free)
@@ -172,11 +175,12 @@
         ]:
             if by_name[name].utilisation(now) <= bound:
                 return by_name[name]
-        return self._choose_least_loaded(free, now)
+        return self._choose_less_loaded(free, now)
 
-    def _choose_least_loaded(
+    def _choose_less_loaded(
         self, free: Iterable[ServerState], now: float
     ) -> ServerState:
+        """Returns the less loaded of two random servers."""
         servers = list(free)
         pair = self.rng.sample(servers, min(2, len(servers)))
         return min(pair, key=lambda state: state.utilisation(now))
--- a/src/kingcupscale/serving/scheduler.py
+++ b/src/kingcupscale/serving/scheduler.py
@@ -17,6 +17,7 @@
 from kingcupscale.serving import routing
 
 DISPATCH_INTERVAL_S = 0.1
+# Weight of the newest sample in the moving average of the service time.
 SERVICE_TIME_SMOOTHING = 0.1
 MIN_RETRY_AFTER_S = 0.5
 
--- a/src/kingcupscale/serving/sessions.py
+++ b/src/kingcupscale/serving/sessions.py
@@ -22,7 +22,7 @@
 
 
 class Session:
-    """One open request.
+    """An open request, which is cancelled if its key is withdrawn.
 
     Args:
         grant: The access rights of the request's key.
@@ -34,13 +34,13 @@
         self.scopes: set[trio.CancelScope] = set()
 
     def cancel(self) -> None:
-        """Cancels the running steps of the request."""
+        """Cancels the request's running work."""
         self.is_key_withdrawn = True
         for scope in self.scopes:
             scope.cancel()
 
     async def run(self, function: Callable[..., Awaitable[T]], *args: Any) -> T:
-        """Runs one step of the request unless its key is withdrawn.
+        """Runs a part of the request's work unless its key is withdrawn.
 
         Raises:
             ServiceError: ``KEY_WITHDRAWN`` if the key is withdrawn meanwhile.
