--- a/src/kingcupscale/capacity/autoscaler.py
+++ b/src/kingcupscale/capacity/autoscaler.py
@@ -1,9 +1,11 @@
-"""How many servers a service should have in each availability zone.
-
-Answers load that comes in steps while servers may be reclaimed a whole zone
-at a time: a few spare servers cost little, a missing one costs whole steps,
-so the number is held above the need and what a zone loses is ordered in the
-others at once.
+"""Orders backend servers for a service, by availability zone.
+
+The autoscaler tracks peak demand, distributes the required servers over the
+zones and sends orders to the provider. Load comes in training steps, and all
+spot servers of a zone may be reclaimed at once. A few spare servers cost
+little, while a missing one delays whole steps. So more servers are kept than
+the present demand requires, and servers lost in a zone are ordered in the
+other zones at once.
 """
 
 from collections.abc import Callable
@@ -18,36 +20,37 @@
 from kingcupscale.fleet import registry
 from kingcupscale.storage import locks
 
-# Pause after a refused order before the same zone is asked again.
-REFUSED_PAUSE_S = 2.0
-FAILED_PAUSE_S = 0.7
-# Peaks are remembered for this long, so that the number does not follow each
-# step of a trainer.
-MEMORY_S = 60.0
-# Percentage of the samples at a peak that find a slot at once.
+# Delay before another order for a zone that refused one.
+REFUSED_RETRY_DELAY_S = 2.0
+# Delay before another order for a zone if the outcome of one is unknown.
+FAILED_RETRY_DELAY_S = 0.7
+# Length of the sliding window for the peak. It spans several training steps,
+# so that the number of servers does not change with each step.
+PEAK_WINDOW_S = 60.0
+# Percentage of the samples at the peak for which there is a slot.
 PEAK_PERCENT = 80
 
 
 class OrderState(enum.Enum):
-    """What became of an order."""
+    """The provider's response to an order."""
 
     ACCEPTED = "taken"
     REFUSED = "refused"
 
 
 class OrderError(Exception):
-    """An order whose fate is not known."""
+    """The outcome of an order is unknown."""
 
 
 @attrs.frozen
 class Order:
-    """A number of servers for a service in a zone.
+    """The desired number of servers of a service in a zone.
 
     Attributes:
         service: The service.
         zone: The availability zone.
-        number: How many there should be of this kind.
-        is_spot: Whether they may be reclaimed.
+        number: The desired number of servers of this kind.
+        is_spot: Whether the provider may reclaim the servers.
     """
 
     service: str
@@ -57,74 +60,95 @@
 
 
 class Provider(Protocol):
-    """Takes orders for servers."""
+    """Accepts orders for servers."""
 
     async def order(self, order: Order, holder: locks.Holder) -> OrderState:
-        """Orders servers.
+        """Sends an order on behalf of the holder of the duty.
 
         Raises:
-            OrderError: If the order's fate is not known.
+            OrderError: If the outcome of the order is unknown.
         """
         ...
 
 
 def wanted_by_zone(
-    scaling: catalogue.Scaling, total: int, closed: set[str]
+    scaling: catalogue.Scaling, total: int, unavailable: set[str]
 ) -> dict[str, int]:
-    """Spreads a number of servers over zones, the cheapest ones first.
+    """Distributes servers over the zones, the cheapest zones first.
+
+    Each zone gets the minimum; the rest is added in turn, one server per zone,
+    up to the maximum.
 
     Args:
-        scaling: Bounds and prices.
-        total: How many servers there should be in all.
-        closed: Zones that have none to give at the moment.
+        scaling: Minimum and maximum per zone, and the zones' prices.
+        total: Desired number of servers in all zones.
+        unavailable: Zones that take no orders at present.
+
+    Returns:
+        The desired number of servers by zone.
     """
     zones = sorted(
         scaling.zone_prices, key=lambda z: (scaling.zone_prices[z], z)
     )
     wanted = dict.fromkeys(zones, scaling.minimum)
-    is_room = True
-    while sum(wanted.values()) < total and is_room:
-        is_room = False
+    has_grown = True
+    while sum(wanted.values()) < total and has_grown:
+        has_grown = False
         for zone in zones:
-            has_room = wanted[zone] < scaling.maximum and zone not in closed
-            if has_room and sum(wanted.values()) < total:
+            can_grow = (
+                wanted[zone] < scaling.maximum and zone not in unavailable
+            )
+            if can_grow and sum(wanted.values()) < total:
                 wanted[zone] += 1
-                is_room = True
+                has_grown = True
     return wanted
 
 
 @attrs.define
 class Demand:
-    """The most that was asked of a service within a while.
+    """The peak demand for a service within the last ``PEAK_WINDOW_S``.
 
     Attributes:
-        readings: Recent readings as (monotonic time, samples).
+        readings: Recent readings as (monotonic time, number of samples).
     """
 
     readings: list[tuple[float, int]] = attrs.field(factory=list)
 
     def record(self, now: float, samples: int) -> None:
-        """Adds a reading and drops old ones."""
+        """Adds a reading and removes expired ones."""
         self.readings.append((now, samples))
-        oldest = now - MEMORY_S
+        oldest = now - PEAK_WINDOW_S
         self.readings = [r for r in self.readings if r[0] >= oldest]
 
     def required_servers(self, slots: int) -> int:
-        """Returns how many servers the peak asks for."""
+        """Returns the number of servers required for the peak.
+
+        Args:
+            slots: Samples that one server runs at once.
+        """
         peak = max((samples for _, samples in self.readings), default=0)
         return -(-peak * PEAK_PERCENT // (100 * max(1, slots)))
 
 
 class Autoscaler:
-    """Keeps a service at the size that its peaks need, while it is ours.
+    """Keeps enough servers ordered for the peak demand of a service.
+
+    Orders are sent only while this node holds the duty for the service.
 
     Args:
-        duty_lock: The duty of ordering for the service.
-        servers: The backend servers.
-        provider: Takes the orders.
-        clock: Tells the time.
-        catalogue_now: Returns the configuration in force.
-        demand_now: Returns how many samples are to be generated.
+        duty_lock: The lock for the duty of leading the service.
+        servers: The registry of backend servers.
+        provider: Accepts the orders.
+        clock: The clock to use.
+        get_catalogue: Returns the configuration in force, if any.
+        get_demand: Returns the number of samples yet to be generated.
+
+    Attributes:
+        demand: Recent demand for the service.
+        ordered: Number in the last accepted order, by zone.
+        retry_at: Monotonic time of the next order allowed, by zone.
+        initial: Number of ready servers when the first were found; the total
+            does not fall below it.
     """
 
     def __init__(
@@ -133,23 +157,23 @@
         servers: registry.ServerRegistry,
         provider: Provider,
         clock: clocks.Clock,
-        catalogue_now: Callable[[], catalogue.Catalogue | None],
-        demand_now: Callable[[], int],
+        get_catalogue: Callable[[], catalogue.Catalogue | None],
+        get_demand: Callable[[], int],
     ) -> None:
-        self.demand_now = demand_now
+        self.get_demand = get_demand
         self.demand = Demand()
         self.duty_lock = duty_lock
         self.servers = servers
         self.provider = provider
         self.clock = clock
-        self.catalogue_now = catalogue_now
+        self.get_catalogue = get_catalogue
         self.ordered: dict[str, int] = {}
-        self.not_before: dict[str, float] = {}
+        self.retry_at: dict[str, float] = {}
         self.initial = 0
 
     async def run_once(self) -> None:
-        """Orders what is missing."""
-        configured = self.catalogue_now()
+        """Records the present demand and orders missing servers."""
+        configured = self.get_catalogue()
         service = configured and configured.services.get(self.duty_lock.name)
         if not service or service.scaling is None:
             return
@@ -159,16 +183,20 @@
             for server in self.servers.list_servers(service.name)
             if server.entry.state is registry.ServerState.READY
         ]
-        self.demand.record(now, self.demand_now())
+        self.demand.record(now, self.get_demand())
         if not self.initial:
             self.initial = len(present)
         total = max(self.initial, self.demand.required_servers(service.slots))
-        closed = {z for z, until in self.not_before.items() if until > now}
-        wanted = wanted_by_zone(service.scaling, total, closed)
+        unavailable = {z for z, until in self.retry_at.items() if until > now}
+        wanted = wanted_by_zone(service.scaling, total, unavailable)
         for zone, number in wanted.items():
-            here = sum(server.entry.zone == zone for server in present)
-            is_known = self.ordered.get(zone, here) == number
-            if zone not in closed and not (is_known and here >= number):
+            present_in_zone = sum(
+                server.entry.zone == zone for server in present
+            )
+            is_ordered = self.ordered.get(zone, present_in_zone) == number
+            if zone not in unavailable and not (
+                is_ordered and present_in_zone >= number
+            ):
                 await self._order(Order(service.name, zone, number))
 
     async def _order(self, order: Order) -> None:
@@ -180,7 +208,7 @@
         try:
             state = await self.provider.order(order, self.duty_lock.holder())
         except OrderError as e:
-            self.not_before[order.zone] = now + FAILED_PAUSE_S
+            self.retry_at[order.zone] = now + FAILED_RETRY_DELAY_S
             events.log(
                 events.Event.SERVERS_ORDERED,
                 order=attrs.asdict(order),
@@ -192,7 +220,7 @@
             self.ordered[order.zone] = order.number
         else:
             self.ordered.pop(order.zone, None)
-            self.not_before[order.zone] = now + REFUSED_PAUSE_S
+            self.retry_at[order.zone] = now + REFUSED_RETRY_DELAY_S
         events.log(
             events.Event.SERVERS_ORDERED,
             order=attrs.asdict(order),
--- a/src/kingcupscale/capacity/scaling.py
+++ b/src/kingcupscale/capacity/scaling.py
@@ -1,4 +1,8 @@
-"""How many servers a zone should have for a service."""
+"""Decides how many servers a service should have in a zone.
+
+A server is added after a sustained high load and removed after a longer
+sustained low load, so that short changes of the load have no effect.
+"""
 
 import attrs
 
@@ -6,18 +10,18 @@
 
 BUSY_UTILISATION = 0.8
 IDLE_UTILISATION = 0.3
-BUSY_FOR_S = 5.0
-IDLE_FOR_S = 60.0
+SCALE_UP_AFTER_S = 5.0
+SCALE_DOWN_AFTER_S = 60.0
 
 
 @attrs.frozen
-class Reading:
-    """How a service fares in a zone.
+class ServiceLoad:
+    """The load of a service in a zone.
 
     Attributes:
-        utilisation: Mean share of its servers' slots in use.
-        wait_s: Expected wait for a server, in seconds.
-        ordered: Servers ordered so far.
+        utilisation: Mean fraction of the servers' slots in use.
+        wait_s: Expected queueing time, in seconds.
+        ordered: Ordered servers that are not draining.
     """
 
     utilisation: float
@@ -26,18 +30,18 @@
 
 
 class ScalingRule:
-    """Decides one server at a time, slow to change its direction.
+    """Adds or removes one server at a time, after a sustained load.
 
     Args:
-        scaling: How many servers are allowed.
-        target: The class whose targets decide.
-        cost_per_hour: Price of one server.
+        scaling: Minimum and maximum number of servers.
+        target: The service class whose latency and cost targets apply.
+        cost_per_hour: Price of one server per hour.
 
     Example:
         >>> scaling = document.Scaling("rollout", minimum=1, maximum=3)
         >>> target = document.ServiceClass(priority=1, latency_s=2.0)
         >>> rule = ScalingRule(scaling, target, cost_per_hour=0.35)
-        >>> rule.decide(Reading(0.0, 0.0, ordered=0), now=0.0)
+        >>> rule.decide(ServiceLoad(0.0, 0.0, ordered=0), now=0.0)
         1
     """
 
@@ -54,43 +58,43 @@
         self.idle_since: float | None = None
 
     def maximum(self) -> int:
-        """Returns the most servers that number and cost allow."""
+        """Returns the most servers that the number and cost limits allow."""
         if self.target.cost_per_hour is None:
             return self.scaling.maximum
         affordable = int(self.target.cost_per_hour / self.cost_per_hour)
         return min(self.scaling.maximum, affordable)
 
-    def decide(self, reading: Reading, now: float) -> int:
-        """Returns how many servers there should be.
+    def decide(self, load: ServiceLoad, now: float) -> int:
+        """Returns the desired number of servers.
 
         Args:
-            reading: How the service fares.
-            now: Monotonic seconds.
+            load: The present load of the service.
+            now: Monotonic time in seconds.
         """
-        self._note(reading, now)
-        wanted = reading.ordered
-        if _lasted(self.busy_since, now, BUSY_FOR_S):
+        self._update_timers(load, now)
+        wanted = load.ordered
+        if _has_lasted(self.busy_since, now, SCALE_UP_AFTER_S):
             wanted += 1
             self.busy_since = None
-        elif _lasted(self.idle_since, now, IDLE_FOR_S):
+        elif _has_lasted(self.idle_since, now, SCALE_DOWN_AFTER_S):
             wanted -= 1
             self.idle_since = None
-        lowest = min(self.scaling.minimum, self.maximum())
-        return max(lowest, min(self.maximum(), wanted))
+        minimum = min(self.scaling.minimum, self.maximum())
+        return max(minimum, min(self.maximum(), wanted))
 
-    def _note(self, reading: Reading, now: float) -> None:
-        is_late = reading.wait_s > self.target.latency_s / 2
-        is_busy = is_late or reading.utilisation > BUSY_UTILISATION
-        is_idle = not is_late and reading.utilisation < IDLE_UTILISATION
-        self.busy_since = _since(self.busy_since, is_busy, now)
-        self.idle_since = _since(self.idle_since, is_idle, now)
+    def _update_timers(self, load: ServiceLoad, now: float) -> None:
+        is_wait_long = load.wait_s > self.target.latency_s / 2
+        is_busy = is_wait_long or load.utilisation > BUSY_UTILISATION
+        is_idle = not is_wait_long and load.utilisation < IDLE_UTILISATION
+        self.busy_since = _start_time(self.busy_since, is_busy, now)
+        self.idle_since = _start_time(self.idle_since, is_idle, now)
 
 
-def _since(before: float | None, holds: bool, now: float) -> float | None:
+def _start_time(before: float | None, holds: bool, now: float) -> float | None:
     if not holds:
         return None
     return now if before is None else before
 
 
-def _lasted(since: float | None, now: float, seconds: float) -> bool:
+def _has_lasted(since: float | None, now: float, seconds: float) -> bool:
     return since is not None and now - since >= seconds
--- a/src/kingcupscale/capacity/zone.py
+++ b/src/kingcupscale/capacity/zone.py
@@ -1,4 +1,4 @@
-"""The duty of one availability zone: its engines' and servers' orders."""
+"""The duty of one availability zone: orders to its engines and servers."""
 
 from kingcupscale import events
 from kingcupscale.capacity import zonescaler
@@ -7,11 +7,11 @@
 
 
 class ZoneDuty:
-    """Everything that only the zone's lease holder may order.
+    """Sends the orders that only the holder of the zone's lease may send.
 
     Args:
-        order_sender: Sends and records the orders.
-        weights: Brings weights to the engines.
+        order_sender: Records the orders in the journal and sends them.
+        weights: Loads weight versions into the engines.
         servers: Starts and stops servers.
     """
 
@@ -26,7 +26,7 @@
         self.servers = servers
 
     async def take_over(self) -> None:
-        """Settles the orders that a former holder left open."""
+        """Sends the open orders of the previous lease holder again."""
         for order in await self.order_sender.journal.open():
             events.log(
                 events.Event.ORDER_RECONCILED,
@@ -36,28 +36,28 @@
                 target=order.target,
                 epoch=order.epoch,
             )
-        await self._settle_open()
+        await self._resend_open_orders()
 
     async def run_once(self) -> None:
-        """Does one round."""
-        await self._settle_open()
+        """Sends open orders again, then new orders to engines and servers."""
+        await self._resend_open_orders()
         await self.weights.run_once()
         await self.servers.run_once()
 
-    async def _settle_open(self) -> None:
+    async def _resend_open_orders(self) -> None:
         """Sends open orders again with the same ids.
 
-        An engine that still does not answer is given up, since the next
-        rounds work from what engines say of themselves; a capacity order is
-        not, since its server may exist.
+        Orders to an engine that still does not respond are marked as failed,
+        since later runs read the state that engines report. Capacity orders
+        stay open, since their server may exist.
         """
         pending = self.order_sender.journal.pending()
         engines = [o for o in pending if o.kind == activation.ORDER_KIND]
         others = [o for o in pending if o.kind == zonescaler.ORDER_KIND]
         if engines:
-            settled = await self.order_sender.send_orders(
+            completed = await self.order_sender.send_orders(
                 engines, self.weights.send
             )
-            await self.order_sender.mark_failed(settled)
+            await self.order_sender.mark_failed(completed)
         if others:
             await self.order_sender.send_orders(others, self.servers.send)
--- a/src/kingcupscale/capacity/zonescaler.py
+++ b/src/kingcupscale/capacity/zonescaler.py
@@ -1,4 +1,9 @@
-"""Starting and stopping a zone's servers, each order once."""
+"""Starts and stops the ordered servers of a zone.
+
+The zone scaler applies the scaling rule of each service, sends each order
+through the journal so that it takes effect once, and keeps the configuration's
+list of ordered servers equal to the provider's.
+"""
 
 from typing import Any
 
@@ -15,19 +20,24 @@
 from kingcupscale.serving import services
 
 ORDER_KIND = "capacity"
-DRAIN_S = 10.0
+# Time between marking a server as leaving and the order to stop it.
+DRAIN_PERIOD_S = 10.0
 
 
 class ZoneScaler:
-    """Keeps a zone's ordered servers at what the scaling rule says.
+    """Keeps the number of a zone's servers at what the scaling rules say.
 
     Args:
         zone: The availability zone.
-        pools: The services.
-        provider: Takes the orders.
-        editor: Enters ordered servers into the configuration.
-        order_sender: Sends the orders.
-        clock: Tells the time.
+        pools: The services and their server pools.
+        provider: Accepts the orders.
+        editor: Adds ordered servers to the configuration.
+        order_sender: Records the orders in the journal and sends them.
+        clock: The clock to use.
+
+    Attributes:
+        rules: The scaling rule of each service.
+        draining: Monotonic time at which draining began, by server name.
     """
 
     def __init__(
@@ -49,16 +59,18 @@
         self.draining: dict[str, float] = {}
 
     async def run_once(self) -> None:
-        """Does what is next for every service with servers to order."""
+        """Starts, drains and stops servers of all services that are scaled."""
         services_ = self.pools.replica.document.services
         scaled = {n: s for n, s in services_.items() if s.scaling}
         if not scaled or self.zone not in self.pools.replica.document.zones:
             return
         listed = (await self.provider.list(self.zone)).servers
-        await self._enter(listed)
+        await self._update_configuration(listed)
         for name, service in scaled.items():
-            mine = [s for s in listed if s.service == name and not s.leaving]
-            await self._scale(name, service, mine)
+            own_servers = [
+                s for s in listed if s.service == name and not s.leaving
+            ]
+            await self._scale(name, service, own_servers)
         await self._stop_drained(listed)
 
     async def _scale(
@@ -67,21 +79,23 @@
         service: document.Service,
         servers: list[capacityprovider.OrderedServer],
     ) -> None:
-        staying = [s for s in servers if s.name not in self.draining]
+        remaining = [s for s in servers if s.name not in self.draining]
         rule = self._find_rule(name, service)
-        reading = self._read(name, len(staying))
-        wanted = rule.decide(reading, self.clock.monotonic())
-        if wanted > len(staying) and service.scaling is not None:
+        load = self._measure_load(name, len(remaining))
+        wanted = rule.decide(load, self.clock.monotonic())
+        if wanted > len(remaining) and service.scaling is not None:
             await self._start(name, service.scaling.cheap)
-        elif wanted < len(staying):
-            self._drain(staying[-1])
+        elif wanted < len(remaining):
+            self._drain(remaining[-1])
 
     def _find_rule(
         self, name: str, service: document.Service
     ) -> scaling.ScalingRule:
         replica = self.pools.replica
         if service.scaling is None:
-            raise ValueError(f"{name} has no scaling")
+            raise ValueError(
+                f"expected scaling settings of service {name}, found none"
+            )
         rule = self.rules.get(name)
         if rule is None or rule.scaling != service.scaling:
             zone = replica.document.zones[self.zone]
@@ -93,13 +107,13 @@
             self.rules[name] = rule
         return rule
 
-    def _read(self, name: str, ordered: int) -> scaling.Reading:
+    def _measure_load(self, name: str, ordered: int) -> scaling.ServiceLoad:
         pool = self.pools.pools[name]
         now = self.clock.monotonic()
         servers = [s for s in pool.router.servers.values() if not s.is_leaving]
         utilisation = sum(s.utilisation(now) for s in servers)
         rule = self.rules[name]
-        return scaling.Reading(
+        return scaling.ServiceLoad(
             utilisation / max(1, len(servers)),
             pool.scheduler.expected_wait_s(rule.target),
             ordered,
@@ -126,7 +140,7 @@
         now = self.clock.monotonic()
         for server in listed:
             since = self.draining.get(server.name)
-            if since is None or now < since + DRAIN_S:
+            if since is None or now < since + DRAIN_PERIOD_S:
                 continue
             order = capacityprovider.CapacityOrder(
                 journals.new_order_id(),
@@ -154,7 +168,7 @@
     async def send(
         self, order: journals.JournalOrder, lease_check: ordersender.LeaseCheck
     ) -> ordersender.Outcome:
-        """Sends one journalled order to the platform."""
+        """Sends one order from the journal to the capacity provider."""
         body = codec.decode(capacityprovider.CapacityOrder, order.detail)
         answer = await self.provider.order(
             attrs.evolve(body, epoch=order.epoch), lease_check
@@ -162,16 +176,19 @@
         text = answer.server if answer.accepted else answer.reason
         return ordersender.Outcome(answer.accepted, text)
 
-    async def _enter(
+    async def _update_configuration(
         self, listed: list[capacityprovider.OrderedServer]
     ) -> None:
-        """Makes the configuration name just the servers that exist."""
+        """Makes the configuration list exactly the servers that exist.
+
+        Servers that are about to be reclaimed are marked as leaving first.
+        """
         leaving = {s.address for s in listed if s.leaving}
         if leaving and self.pools.replica.mark_leaving(leaving):
             await self.editor.replicator.push()
         present = self.pools.replica.document.ordered
-        wanted = {s.name: self._make_entry(s) for s in listed}
-        gone = [
+        wanted = {s.name: self._make_configuration_entry(s) for s in listed}
+        removed = [
             name
             for name, entry in present.items()
             if entry.server.zone == self.zone and name not in wanted
@@ -181,7 +198,7 @@
             for name, entry in wanted.items()
             if name not in present
         }
-        entries.update({f"{document.ORDERED_TABLE}/{n}": None for n in gone})
+        entries.update({f"{document.ORDERED_TABLE}/{n}": None for n in removed})
         if entries:
             await self.editor.propose(
                 editors.Proposal(
@@ -192,7 +209,7 @@
                 )
             )
 
-    def _make_entry(
+    def _make_configuration_entry(
         self, server: capacityprovider.OrderedServer
     ) -> dict[str, Any]:
         service = self.pools.replica.document.services.get(server.service)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Capacity: the scaling rule, orders from one holder, reclaimed servers."""
+"""Tests of the scaling rule and of ordering and replacing servers."""
 
 import unittest
 
@@ -40,12 +40,12 @@
             ("idle for a moment", [(0.1, 0.0)] * 30, 2),
         ]
     )
-    def test_decides_slowly(self, _, readings, expected):
+    def test_reacts_to_sustained_load_only(self, _, loads, expected):
         rule = make_rule()
         wanted = 2
-        for second, (utilisation, wait_s) in enumerate(readings):
-            reading = scaling.Reading(utilisation, wait_s, wanted)
-            wanted = rule.decide(reading, float(second))
+        for second, (utilisation, wait_s) in enumerate(loads):
+            load = scaling.ServiceLoad(utilisation, wait_s, wanted)
+            wanted = rule.decide(load, float(second))
         self.assertEqual(wanted, expected)
 
     @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
@@ -60,22 +60,22 @@
         strategies.integers(0, 5),
         strategies.floats(0.1, 5.0),
     )
-    def test_stays_within_number_and_cost(self, readings, low, high, cost):
+    def test_stays_within_number_and_cost(self, loads, low, high, cost):
         rule = make_rule(low, high, cost)
         wanted = 0
-        for second, (utilisation, wait_s) in enumerate(readings):
+        for second, (utilisation, wait_s) in enumerate(loads):
             before = wanted
-            reading = scaling.Reading(utilisation, wait_s, wanted)
-            wanted = rule.decide(reading, float(second))
+            load = scaling.ServiceLoad(utilisation, wait_s, wanted)
+            wanted = rule.decide(load, float(second))
             self.assertLessEqual(wanted, high)
             self.assertLessEqual(wanted * 0.5, cost)
             if wanted >= low:
                 self.assertLessEqual(wanted - before, max(1, low))
 
 
-class OrderingTest(unittest.TestCase):
+class ZoneScalerTest(unittest.TestCase):
     @virtual.on_virtual_time
-    async def test_minimum_is_ordered_and_served_from(self):
+    async def test_minimum_is_ordered_and_configured(self):
         async with clusters.running(SCALED) as cluster:
             await trio.sleep(30)
             self.assertEqual(len(cluster.world.capacity.servers), 2)
@@ -108,7 +108,7 @@
         virtualtime.run(main)
 
     @virtual.on_virtual_time
-    async def test_reclaimed_server_is_left_and_replaced(self):
+    async def test_reclaimed_server_is_removed_and_replaced(self):
         async with clusters.running(SCALED) as cluster:
             await trio.sleep(30)
             name = sorted(cluster.world.capacity.servers)[0]
