--- a/src/kingcupscale/providers/calls.py
+++ b/src/kingcupscale/providers/calls.py
@@ -1,4 +1,4 @@
-"""One JSON call to a platform service."""
+"""JSON calls to platform services, and the base class of their clients."""
 
 from typing import Any
 from typing import TypeVar
@@ -15,10 +15,10 @@
 
 
 class PlatformError(Exception):
-    """A platform call that brought no usable answer.
+    """A platform call without a valid response.
 
     Args:
-        reason: What went wrong.
+        reason: Why the call failed.
         may_have_run: Whether the call may have taken effect.
     """
 
@@ -29,12 +29,12 @@
 
 
 class PlatformClient:
-    """A client of one platform service, the base of the typed ones.
+    """Base class of the clients of platform services.
 
     Args:
-        http_client: What carries the calls.
+        http_client: Sends the HTTP requests.
         address: ``host:port`` of the service.
-        timeout_s: Seconds a call may take.
+        timeout_s: Timeout of a call, in seconds.
     """
 
     def __init__(
@@ -50,15 +50,17 @@
     async def call(
         self, request: message.Request, kind: type[T], wait_s: float = 0
     ) -> T:
-        """Sends one request and reads its typed answer.
+        """Sends one request and decodes the response.
 
         Args:
-            request: What to send.
-            kind: Type of the answer.
-            wait_s: Seconds that the service may wait by intent.
+            request: The request.
+            kind: Type of the response.
+            wait_s: Seconds for which a long poll may wait, added to the
+                timeout.
 
         Raises:
-            PlatformError: If no whole answer of the type comes.
+            PlatformError: If the call fails, or the response is not complete
+                and of the type.
         """
         timeout_s = self.timeout_s + wait_s
         return await call(
@@ -73,10 +75,18 @@
     kind: type[T],
     timeout_s: float,
 ) -> T:
-    """Sends one request and reads its typed answer.
+    """Sends one request and decodes the response.
+
+    Args:
+        http_client: Sends the HTTP request.
+        address: ``host:port`` of the service.
+        request: The request.
+        kind: Type of the response.
+        timeout_s: Timeout in seconds.
 
     Raises:
-        PlatformError: If no whole answer of the type comes.
+        PlatformError: If the call fails, or the response is not complete and
+            of the type.
     """
     try:
         response = await httpclient.fetch(
@@ -85,16 +95,16 @@
     except httpclient.RequestError as e:
         raise PlatformError(e.reason, e.may_have_been_sent) from e
     if response.status != 200:
-        raise PlatformError(_describe(response), response.status >= 500)
+        raise PlatformError(_describe_error(response), response.status >= 500)
     try:
         return codec.decode(kind, response.body)
     except ValueError as e:
-        raise PlatformError(f"unreadable answer: {e}", True) from e
+        raise PlatformError(f"invalid response: {e}", True) from e
 
 
-def _describe(response: message.Response) -> str:
+def _describe_error(response: message.Response) -> str:
     try:
         detail: Any = orjson.loads(response.body)["error"]["message"]
     except (ValueError, KeyError, TypeError):
         detail = "no reason given"
-    return f"status {response.status}: {detail}"
+    return f"expected status 200, got {response.status}: {detail}"
--- a/src/kingcupscale/providers/capacityprovider.py
+++ b/src/kingcupscale/providers/capacityprovider.py
@@ -1,4 +1,4 @@
-"""The platform's interface for ordering backend servers by zone."""
+"""Client of the platform's service for ordering backend servers by zone."""
 
 from collections.abc import Callable
 import enum
@@ -11,7 +11,7 @@
 
 
 class Action(enum.Enum):
-    """What an order asks for."""
+    """The action that an order requests."""
 
     START = "start"
     STOP = "stop"
@@ -22,12 +22,13 @@
     """An order for one backend server.
 
     Attributes:
-        order_id: The same at every sending, so that a repeat is harmless.
-        epoch: Fencing number of the zone's lease.
+        order_id: Idempotency key; the same each time the order is sent.
+        epoch: Fencing token of the zone's lease.
         zone: Availability zone.
-        service: Which service the server is for.
-        action: Start or stop.
-        cheap: Whether the server may be reclaimed at a few seconds' notice.
+        service: The service that the server belongs to.
+        action: Whether to start or stop a server.
+        cheap: Whether to start a spot server, which the platform may reclaim
+            at a few seconds' notice.
         server: Name of the server to stop; empty for a start.
     """
 
@@ -42,7 +43,13 @@
 
 @attrs.frozen
 class OrderResponse:
-    """Whether the order was taken, and the server it is about."""
+    """The response to an order.
+
+    Attributes:
+        accepted: Whether the order was accepted.
+        server: Name of the server started or stopped.
+        reason: Why the order was rejected.
+    """
 
     accepted: bool
     server: str
@@ -51,16 +58,16 @@
 
 @attrs.frozen
 class OrderedServer:
-    """A backend server that exists by an order.
+    """A backend server that was started by an order.
 
     Attributes:
         name: Name of the server.
         address: ``host:port``.
         zone: Availability zone.
-        service: Which service it is for.
-        cheap: Whether it may be reclaimed.
+        service: The service that the server belongs to.
+        cheap: Whether it is a spot server.
         order_id: The order that started it.
-        leaving: Whether it is about to go.
+        leaving: Whether the platform is about to reclaim it.
     """
 
     name: str
@@ -80,7 +87,7 @@
 
 
 class CapacityProvider(Protocol):
-    """Takes orders for backend servers."""
+    """Accepts orders for backend servers."""
 
     async def order(
         self, order: CapacityOrder, before_send: Callable[[], None]
@@ -94,7 +101,7 @@
 
 
 class HttpCapacityProvider(calls.PlatformClient):
-    """The capacity interface over HTTP."""
+    """The HTTP client of the capacity service."""
 
     async def order(
         self, order: CapacityOrder, before_send: Callable[[], None]
@@ -102,8 +109,9 @@
         """Sends one order.
 
         Args:
-            order: What to send.
-            before_send: Raises if the order must not leave any more.
+            order: The order.
+            before_send: Called just before the order is sent; raises an error
+                if it must not be sent any more.
         """
         request = message.json_request("/capacity/orders", order)
         request.before_send = before_send
--- a/src/kingcupscale/providers/engine.py
+++ b/src/kingcupscale/providers/engine.py
@@ -1,4 +1,4 @@
-"""What a model engine speaks: generation, orders, load."""
+"""Messages and calls of the model engines: generation, orders and state."""
 
 from collections.abc import Callable
 import enum
@@ -16,17 +16,17 @@
 
 @attrs.frozen
 class GenerateRequest:
-    """Asks an engine to generate.
+    """A request to generate tokens.
 
     Attributes:
-        request_id: Comes back on every piece of the answer.
-        adapter: Whose weights to use; empty for the base model.
+        request_id: Repeated in every chunk of the response.
+        adapter: The adapter to use; empty for the base model.
         prompt: Text to continue.
-        seed: Chooses the sample; the same seed and weights give the same.
-        max_tokens: Most tokens in all, ``resume`` included.
-        priority: Higher goes first.
-        chunk_tokens: Tokens to gather in a piece.
-        resume: Tokens that an earlier engine generated already.
+        seed: Sampling seed; the same seed and weights give the same sample.
+        max_tokens: Maximum number of tokens, including ``resume``.
+        priority: Requests of higher priority run first.
+        chunk_tokens: Tokens per chunk.
+        resume: Tokens that another engine has already generated.
     """
 
     request_id: str
@@ -41,14 +41,14 @@
 
 @attrs.frozen
 class GenerateChunk:
-    """A piece of an engine's answer, one JSON line.
+    """A chunk of an engine's response, one JSON line.
 
     Attributes:
-        request_id: Of the request it answers.
+        request_id: Id of the request.
         start: Position of the first token, counted from 0.
         tokens: The tokens.
-        version: Weight version that generated them.
-        done: Whether the answer is whole with this piece.
+        version: Weight version that generated the tokens.
+        done: Whether this is the last chunk.
     """
 
     request_id: str
@@ -59,7 +59,7 @@
 
 
 class OrderKind(enum.Enum):
-    """What an engine can be told."""
+    """The kinds of orders to an engine."""
 
     STAGE = "stage"
     ACTIVATE = "activate"
@@ -68,14 +68,14 @@
 
 @attrs.frozen
 class EngineOrder:
-    """An order to an engine.
+    """An order to stage, activate or drop a weight version.
 
     Attributes:
-        order_id: The same at every sending.
-        epoch: Fencing number of the zone's lease.
-        kind: What to do.
-        adapter: Whose weights.
-        version: Which version of them.
+        order_id: Idempotency key; the same each time the order is sent.
+        epoch: Fencing token of the zone's lease.
+        kind: The kind of order.
+        adapter: The adapter.
+        version: Its weight version.
     """
 
     order_id: str
@@ -87,11 +87,12 @@
 
 @attrs.frozen
 class EngineState:
-    """What an engine says of itself.
+    """The state that an engine reports.
 
     Attributes:
-        accepted: Whether the order was taken (true for a plain question).
-        reason: Why not.
+        accepted: Whether the order was accepted; true if the state was read
+            without an order.
+        reason: Why the order was rejected.
         active: Active version by adapter.
         staged: Staged version by adapter.
     """
@@ -109,10 +110,18 @@
     timeout_s: float,
     before_send: Callable[[], None],
 ) -> EngineState:
-    """Sends an order on behalf of a zone's lease holder.
+    """Sends an order on behalf of the holder of a zone's lease.
+
+    Args:
+        http_client: Sends the HTTP request.
+        address: ``host:port`` of the engine.
+        order: The order.
+        timeout_s: Timeout in seconds.
+        before_send: Called just before the order is sent; raises an error if
+            it must not be sent any more.
 
     Raises:
-        calls.PlatformError: If no answer comes.
+        calls.PlatformError: If the call fails.
     """
     request = message.json_request("/orders", order)
     request.headers["connection"] = "close"
@@ -125,7 +134,11 @@
 async def read_state(
     http_client: httpclient.HttpClient, address: str, timeout_s: float
 ) -> EngineState:
-    """Asks an engine which versions it holds."""
+    """Returns an engine's active and staged weight versions.
+
+    Raises:
+        calls.PlatformError: If the call fails.
+    """
     request = message.Request("GET", "/state")
     return await calls.call(
         http_client, address, request, EngineState, timeout_s
--- a/src/kingcupscale/providers/keyvalue.py
+++ b/src/kingcupscale/providers/keyvalue.py
@@ -1,4 +1,8 @@
-"""The platform's key-value service: compare-and-swap, leases, watches."""
+"""Client of the platform's key-value store.
+
+The store offers compare-and-swap writes, entries with a lease, and watches by
+long poll.
+"""
 
 from typing import Protocol
 from typing import TypeVar
@@ -11,6 +15,7 @@
 
 T = TypeVar("T")
 
+# Version of a key without an entry.
 ABSENT = 0
 PUT_ATTEMPTS = 3
 
@@ -20,9 +25,9 @@
     """A stored value.
 
     Attributes:
-        key: Its key.
-        value: Its text, at most a megabyte.
-        version: Store-wide number of the write that put it, 1 or more.
+        key: The key.
+        value: The text, at most a megabyte.
+        version: Number of the write among all writes to the store, 1 or more.
     """
 
     key: str
@@ -32,7 +37,13 @@
 
 @attrs.frozen
 class GetRequest:
-    """Asks for the entries whose keys start with a prefix, or equal a key."""
+    """Requests one entry, or the entries under a prefix.
+
+    Attributes:
+        key: The key, or the prefix.
+        prefix: Whether ``key`` is a prefix.
+        after: Return only keys that sort after this one.
+    """
 
     key: str
     prefix: bool = False
@@ -41,13 +52,13 @@
 
 @attrs.frozen
 class PutRequest:
-    """Asks for a write, under a condition on the present version.
+    """Requests a compare-and-swap write.
 
     Attributes:
         key: The key to write.
         value: The new text, or None to delete.
-        if_version: The version that must be present; ``ABSENT`` for none.
-        lease_s: Seconds after which the store removes the entry by itself.
+        if_version: The expected version; ``ABSENT`` if there must be no entry.
+        lease_s: Seconds after which the store removes the entry, if any.
     """
 
     key: str
@@ -58,7 +69,13 @@
 
 @attrs.frozen
 class WatchRequest:
-    """Waits until the store's version of a prefix passes ``after``."""
+    """Requests the changes under a prefix since a version, by long poll.
+
+    Attributes:
+        prefix: The prefix.
+        after: Only entries of a higher version are returned.
+        timeout_s: Seconds to wait for a change if there is none yet.
+    """
 
     prefix: str
     after: int
@@ -67,7 +84,7 @@
 
 @attrs.frozen
 class GetResponse:
-    """Entries in key order, and the store's version they are as of."""
+    """Entries in key order, and the store's version at which they were read."""
 
     entries: list[Entry]
     version: int
@@ -75,11 +92,11 @@
 
 @attrs.frozen
 class PutResponse:
-    """Whether a write took place, and its version.
+    """The response to a write.
 
     Attributes:
-        written: False when the condition did not hold.
-        version: The new version, or the one that stood in the way.
+        written: Whether the key had the expected version.
+        version: The new version, or the present one if nothing was written.
     """
 
     written: bool
@@ -87,14 +104,14 @@
 
 
 class KeyValueStore(Protocol):
-    """What the product asks of the key-value service."""
+    """A key-value store with compare-and-swap writes and watches."""
 
     async def get(self, key: str) -> Entry | None:
-        """Returns one entry."""
+        """Returns the entry of a key, or None."""
         ...
 
     async def scan(self, prefix: str, after: str = "") -> GetResponse:
-        """Returns the entries under a prefix with keys past ``after``."""
+        """Returns the entries under a prefix with keys after ``after``."""
         ...
 
     async def put(
@@ -104,26 +121,26 @@
         if_version: int,
         lease_s: float | None = None,
     ) -> PutResponse:
-        """Writes or deletes if the present version is the given one."""
+        """Writes or deletes an entry if its version is the expected one."""
         ...
 
     async def watch(
         self, prefix: str, after: int, timeout_s: float
     ) -> GetResponse:
-        """Returns the entries changed past a version, waiting for one."""
+        """Returns the entries changed since a version; waits for a change."""
         ...
 
 
 class HttpKeyValueStore(calls.PlatformClient):
-    """The key-value service over HTTP."""
+    """The HTTP client of the key-value store."""
 
     async def get(self, key: str) -> Entry | None:
-        """Returns one entry."""
+        """Returns the entry of a key, or None."""
         answer = await self._call("/kv/get", GetRequest(key), GetResponse)
         return answer.entries[0] if answer.entries else None
 
     async def scan(self, prefix: str, after: str = "") -> GetResponse:
-        """Returns the entries under a prefix with keys past ``after``."""
+        """Returns the entries under a prefix with keys after ``after``."""
         request = GetRequest(prefix, prefix=True, after=after)
         return await self._call("/kv/get", request, GetResponse)
 
@@ -134,14 +151,14 @@
         if_version: int,
         lease_s: float | None = None,
     ) -> PutResponse:
-        """Writes or deletes if the present version is the given one."""
+        """Writes or deletes an entry if its version is the expected one."""
         request = PutRequest(key, value, if_version, lease_s)
         return await self._call("/kv/put", request, PutResponse)
 
     async def watch(
         self, prefix: str, after: int, timeout_s: float
     ) -> GetResponse:
-        """Returns the entries changed past a version, waiting for one."""
+        """Returns the entries changed since a version; waits for a change."""
         request = WatchRequest(prefix, after, timeout_s)
         return await self._call("/kv/watch", request, GetResponse, timeout_s)
 
@@ -160,21 +177,23 @@
     if_version: int,
     lease_s: float | None = None,
 ) -> PutResponse:
-    """Writes a value that is unique to this write, and learns its fate.
+    """Writes a value that is unique to this write, and finds its outcome.
 
-    A write whose answer was lost may even take effect later, so it is sent
-    again under the same condition: then it has either been written or can
-    never be, and reading back tells which.
+    A write whose response was lost may still take effect later. So it is
+    repeated with the same expected version: once the store has responded, the
+    first write has either taken effect or can no longer do so, and reading the
+    key shows which.
 
     Args:
-        store: The key-value service.
+        store: The key-value store.
         key: The key to write.
-        value: Text that no other writer ever writes; holds a ``new_token``.
-        if_version: The version that must be present.
-        lease_s: Seconds after which the store removes the entry by itself.
+        value: Text that no other writer writes; contains a ``new_token``.
+        if_version: The expected version.
+        lease_s: Seconds after which the store removes the entry, if any.
 
     Raises:
-        calls.PlatformError: If the fate cannot be learned now.
+        calls.PlatformError: If every attempt fails, so that the outcome stays
+            unknown.
     """
     may_have_run = False
     reason = ""
@@ -184,7 +203,7 @@
             return (
                 answer
                 if answer.written
-                else await _read_back(store, key, value)
+                else await _check_written(store, key, value)
             )
         except calls.PlatformError as e:
             may_have_run = may_have_run or e.may_have_run
@@ -192,7 +211,9 @@
     raise calls.PlatformError(reason, may_have_run)
 
 
-async def _read_back(store: KeyValueStore, key: str, value: str) -> PutResponse:
+async def _check_written(
+    store: KeyValueStore, key: str, value: str
+) -> PutResponse:
     entry = await store.get(key)
     if entry is None:
         return PutResponse(False, ABSENT)
@@ -200,5 +221,5 @@
 
 
 def new_token() -> str:
-    """Returns a token that no other writer uses."""
+    """Returns a unique token."""
     return uuid.uuid4().hex
--- a/src/kingcupscale/providers/usageintake.py
+++ b/src/kingcupscale/providers/usageintake.py
@@ -1,4 +1,4 @@
-"""The platform's interface that takes usage reports."""
+"""Client of the usage intake, the platform's service for usage reports."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -11,14 +11,14 @@
 
 @attrs.frozen(order=True)
 class Figure:
-    """What one organisation used in one class during a window.
+    """The usage of an organisation in a service class during a window.
 
     Attributes:
         organisation: Name of the organisation.
-        service_class: Name of the class.
-        requests: Requests answered.
-        prompt_tokens: Tokens read.
-        generated_tokens: Tokens generated.
+        service_class: Name of the service class.
+        requests: Number of completed requests.
+        prompt_tokens: Number of prompt tokens.
+        generated_tokens: Number of generated tokens.
     """
 
     organisation: str
@@ -30,13 +30,15 @@
 
 @attrs.frozen
 class Report:
-    """The figures of one shard's window, the same at every sending.
+    """The usage report of one shard for one window.
+
+    A report has the same content each time it is sent.
 
     Attributes:
-        shard: Which share of the organisations.
-        window: Number of the window, counted up by one.
-        epoch: Fencing number of the lease the report is sent under.
-        figures: One per organisation and class, ordered.
+        shard: The shard of the organisations.
+        window: Number of the window; consecutive.
+        epoch: Fencing token of the lease under which the report is sent.
+        figures: One per organisation and service class, sorted.
     """
 
     shard: str
@@ -47,13 +49,17 @@
 
 @attrs.frozen
 class ReportResponse:
-    """Whether the intake took the report or already had the same."""
+    """The response to a report.
+
+    Attributes:
+        taken: Whether the report was accepted, now or before.
+    """
 
     taken: bool
 
 
 class UsageIntake(Protocol):
-    """Takes usage reports."""
+    """Accepts usage reports."""
 
     async def send(
         self, report: Report, before_send: Callable[[], None]
@@ -63,7 +69,7 @@
 
 
 class HttpUsageIntake(calls.PlatformClient):
-    """The usage intake over HTTP."""
+    """The HTTP client of the usage intake."""
 
     async def send(
         self, report: Report, before_send: Callable[[], None]
@@ -71,8 +77,9 @@
         """Sends one report.
 
         Args:
-            report: What to send.
-            before_send: Raises if the report must not leave any more.
+            report: The report.
+            before_send: Called just before the report is sent; raises an error
+                if it must not be sent any more.
         """
         request = message.json_request("/usage", report)
         request.before_send = before_send
--- a/src/kingcupscale/providers/vmlist.py
+++ b/src/kingcupscale/providers/vmlist.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of live and leaving VMs."""
+"""Client of the platform's list of VMs, which lags by some seconds."""
 
 import enum
 from typing import Protocol
@@ -10,7 +10,7 @@
 
 
 class VmState(enum.Enum):
-    """What the platform says of a VM."""
+    """The state of a VM in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -18,13 +18,13 @@
 
 @attrs.frozen
 class Vm:
-    """One VM.
+    """A VM in the platform's list.
 
     Attributes:
-        address: ``host:port`` of what runs there.
-        zone: Its availability zone.
-        state: Live or leaving.
-        node: Whether it is an entry VM of the system.
+        address: ``host:port`` of the server on the VM.
+        zone: The VM's availability zone.
+        state: Whether the VM is live or leaving.
+        node: Whether a node of this system runs on the VM.
     """
 
     address: str
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class VmList:
-    """The VMs as the platform saw them some seconds ago."""
+    """The VMs as of some seconds ago."""
 
     vms: list[Vm]
 
@@ -44,14 +44,14 @@
     """Lists VMs."""
 
     async def list(self) -> VmList:
-        """Returns the list as of some seconds ago."""
+        """Returns the VMs as of some seconds ago."""
         ...
 
 
 class HttpVmDirectory(calls.PlatformClient):
-    """The VM list over HTTP."""
+    """The HTTP client of the VM list."""
 
     async def list(self) -> VmList:
-        """Returns the list as of some seconds ago."""
+        """Returns the VMs as of some seconds ago."""
         request = message.Request("GET", "/vms")
         return await self.call(request, VmList)
--- a/src/kingcupscale/providers/weightstore.py
+++ b/src/kingcupscale/providers/weightstore.py
@@ -1,4 +1,4 @@
-"""The platform's rate-limited weight store."""
+"""Client of the platform's rate-limited weight store."""
 
 from typing import Protocol
 
@@ -10,13 +10,13 @@
 
 @attrs.frozen
 class WeightManifest:
-    """What the store holds of one weight version.
+    """A weight version in the store.
 
     Attributes:
-        adapter: Whose weights.
-        version: Which version.
-        megabytes: Size of one copy.
-        ready: Whether the trainer's upload is whole.
+        adapter: The adapter.
+        version: Its weight version.
+        megabytes: Size of the weights.
+        ready: Whether the trainer's upload is complete.
     """
 
     adapter: str
@@ -26,17 +26,17 @@
 
 
 class WeightStore(Protocol):
-    """Tells what weights exist; engines fetch them by themselves."""
+    """Describes stored weights. Engines download them directly."""
 
     async def describe(self, adapter: str, version: int) -> WeightManifest:
-        """Returns what the store holds of a version."""
+        """Returns the manifest of a weight version."""
         ...
 
 
 class HttpWeightStore(calls.PlatformClient):
-    """The weight store over HTTP."""
+    """The HTTP client of the weight store."""
 
     async def describe(self, adapter: str, version: int) -> WeightManifest:
-        """Returns what the store holds of a version."""
+        """Returns the manifest of a weight version."""
         request = message.Request("GET", f"/weights/{adapter}/{version}")
         return await self.call(request, WeightManifest)
