--- a/src/kingcupscale/__init__.py
+++ b/src/kingcupscale/__init__.py
@@ -1,8 +1,8 @@
-"""A rollout service for reinforcement learning beside live traffic.
+"""A rollout service for reinforcement learning that also serves live traffic.
 
-What embedders use, re-exported once; each part also works alone. A name is
-imported when it is first used, so that a node starts without the parts that it
-does not run.
+The package re-exports the classes for programs that embed it. A name is
+imported when it is first used, so that a node does not load modules that it
+does not need.
 """
 
 import importlib
--- a/src/kingcupscale/clock.py
+++ b/src/kingcupscale/clock.py
@@ -1,4 +1,7 @@
-"""The clock every part is given, so that tests can run on virtual time."""
+"""The clock interface and the system clock.
+
+All code gets its clock as an argument, so that tests can run on virtual time.
+"""
 
 import datetime
 import math
@@ -7,38 +10,38 @@
 
 import trio
 
-# Tasks that work at a pace wake the process together, this often at most.
+# Periodic tasks wake at multiples of this interval, so that they wake the
+# process together.
 WAKE_INTERVAL_S = 0.1
 
 
 class Clock(Protocol):
-    """Tells the time and waits."""
+    """Returns the time and sleeps."""
 
     def now(self) -> datetime.datetime:
         """Returns the wall-clock time in UTC."""
         ...
 
     def monotonic(self) -> float:
-        """Returns seconds that never go back and count suspended time."""
+        """Returns monotonic seconds, including suspended time."""
         ...
 
     async def sleep(self, seconds: float) -> None:
-        """Waits for that many seconds."""
+        """Sleeps for that many seconds."""
         ...
 
     async def sleep_aligned(self, seconds: float) -> None:
-        """Waits about that long, until a beat that all tasks share.
+        """Sleeps for about that long, until a wake-up shared by all tasks.
 
-        For loops that look after something at a pace: the process wakes once
-        for all of them.
+        Periodic loops use it, so that the process wakes once for all of them.
         """
         ...
 
 
 class SystemClock:
-    """The clock of the machine.
+    """The system clock.
 
-    ``monotonic`` reads ``CLOCK_BOOTTIME``, so that a lease lapses for its
+    ``monotonic`` reads ``CLOCK_BOOTTIME``, so that a lease expires for its
     holder even while the VM is suspended.
     """
 
@@ -47,27 +50,29 @@
         return datetime.datetime.now(datetime.UTC)
 
     def monotonic(self) -> float:
-        """Returns seconds since boot, suspended time included."""
+        """Returns the seconds since boot, including suspended time."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     async def sleep(self, seconds: float) -> None:
-        """Waits for that many seconds."""
+        """Sleeps for that many seconds."""
         await trio.sleep(seconds)
 
     async def sleep_aligned(self, seconds: float) -> None:
-        """Waits about that long, until a beat that all tasks share."""
+        """Sleeps for about that long, until a wake-up shared by all tasks."""
         await trio.sleep_until(next_wake_time(trio.current_time(), seconds))
 
 
 def next_wake_time(now: float, seconds: float) -> float:
-    """Returns the beat that is nearest to a time ahead, but not past yet.
+    """Returns the shared wake-up time that is closest to a later time.
+
+    The result is always later than ``now``.
 
     Args:
         now: Present time in seconds.
-        seconds: How far ahead.
+        seconds: Seconds from ``now`` to the later time.
     """
-    beat = max(
+    wakeup = max(
         round((now + seconds) / WAKE_INTERVAL_S),
         math.floor(now / WAKE_INTERVAL_S) + 1,
     )
-    return beat * WAKE_INTERVAL_S
+    return wakeup * WAKE_INTERVAL_S
--- a/src/kingcupscale/codec.py
+++ b/src/kingcupscale/codec.py
@@ -1,4 +1,9 @@
-"""Typed messages to and from JSON, with every mistake named by its path."""
+"""Conversion of typed messages to and from JSON.
+
+A failed conversion reports every invalid value with its path. Input from
+people is decoded strictly; input from other processes may have fields of a
+newer release, which are ignored.
+"""
 
 import base64
 import datetime
@@ -24,12 +29,12 @@
 
 @attrs.frozen
 class Mistake:
-    """One thing wrong with an input.
+    """An invalid value in an input.
 
     Attributes:
-        path: Where it stands, such as ``classes.rollout.priority``.
-        found: What was found there.
-        expected: What would have been right.
+        path: Path of the value, such as ``classes.rollout.priority``.
+        found: The value, or a description of it.
+        expected: A description of valid values.
     """
 
     path: str
@@ -41,10 +46,10 @@
 
 
 class DecodeError(ValueError):
-    """An input that does not fit its type.
+    """An input that does not match its type.
 
     Args:
-        mistakes: All mistakes found.
+        mistakes: All invalid values found.
     """
 
     def __init__(self, mistakes: list[Mistake]) -> None:
@@ -61,12 +66,12 @@
         self.expected = expected
 
 
-def _show(value: Any) -> str:
+def _abbreviate(value: Any) -> str:
     text = repr(value)
     return text if len(text) <= 60 else text[:57] + "..."
 
 
-def _strict(kind: type | tuple[type, ...], expected: str) -> Any:
+def _make_type_check(kind: type | tuple[type, ...], expected: str) -> Any:
     def structure(value: Any, _: Any) -> Any:
         is_bool = isinstance(value, bool) and kind is not bool
         if is_bool or not isinstance(value, kind):
@@ -76,13 +81,15 @@
     return structure
 
 
-def _bounded(kind: Any, minimum: float, above: bool, expected: str) -> Any:
-    check = _strict(kind, expected)
+def _make_range_check(
+    kind: Any, minimum: float, is_exclusive: bool, expected: str
+) -> Any:
+    check = _make_type_check(kind, expected)
 
     def structure(value: Any, _: Any) -> Any:
         check(value, None)
-        fits = value > minimum if above else value >= minimum
-        if not fits:
+        is_in_range = value > minimum if is_exclusive else value >= minimum
+        if not is_in_range:
             raise _MismatchError(value, expected)
         return value
 
@@ -105,8 +112,8 @@
         raise _MismatchError(value, "a date and time, ISO 8601") from None
 
 
-# Marks bytes in base64. Base 85, which earlier releases wrote, has no such
-# character, so that neither form is taken for the other.
+# Prefix of bytes in base64. Earlier releases wrote base 85, whose alphabet does
+# not have this character, so the two encodings cannot be confused.
 _BASE64_MARK = ":"
 
 
@@ -123,11 +130,11 @@
 
 
 def make_wire_converter() -> cattrs.Converter:
-    """Returns a converter for what nodes tell each other and keep.
+    """Returns a converter for messages between nodes and for stored data.
 
-    Bytes are text in base64, which a C library encodes; what a node of an
-    earlier release wrote is understood, and its reader refuses what this one
-    writes.
+    Bytes are encoded as base64, since its encoder is written in C. Data in
+    base 85 from nodes of an earlier release is decoded too; these nodes reject
+    data in base64.
     """
     converter = cattrs.preconf.orjson.make_converter()
     converter.register_unstructure_hook(bytes, _unstructure_bytes)
@@ -140,30 +147,36 @@
         forbid_extra_keys=is_strict
     )
     hook = converter.register_structure_hook
-    hook(int, _strict(int, "an integer"))
-    hook(float, _strict((int, float), "a number"))
-    hook(str, _strict(str, "a string"))
-    hook(bool, _strict(bool, "true or false"))
-    hook(PositiveInt, _bounded(int, 1, False, "an integer of 1 or more"))
-    hook(NaturalInt, _bounded(int, 0, False, "an integer of 0 or more"))
+    hook(int, _make_type_check(int, "an integer"))
+    hook(float, _make_type_check((int, float), "a number"))
+    hook(str, _make_type_check(str, "a string"))
+    hook(bool, _make_type_check(bool, "true or false"))
+    hook(
+        PositiveInt, _make_range_check(int, 1, False, "an integer of 1 or more")
+    )
+    hook(
+        NaturalInt, _make_range_check(int, 0, False, "an integer of 0 or more")
+    )
     hook(
         PositiveSeconds,
-        _bounded((int, float), 0, True, "a number of seconds above 0"),
+        _make_range_check(
+            (int, float), 0, True, "a number of seconds is_exclusive 0"
+        ),
     )
     hook(Name, _structure_name)
     hook(datetime.datetime, _structure_datetime)
     return converter
 
 
-# What people write is held to the known fields; what other processes write
-# may come from a newer release with more of them.
+# Unknown fields are errors in input from people. Input from other processes
+# may come from a newer release, which has more fields.
 _strict_converter = _make_converter(is_strict=True)
 _converter = _make_converter(is_strict=False)
 
 
 def _describe(exception: BaseException, _: type | None) -> str:
     if isinstance(exception, _MismatchError):
-        return f"{_show(exception.found)}\0{exception.expected}"
+        return f"{_abbreviate(exception.found)}\0{exception.expected}"
     if isinstance(exception, cattrs.ForbiddenExtraKeysError):
         names = ", ".join(sorted(exception.extra_fields))
         return f"unknown field {names}\0only known fields"
@@ -182,27 +195,28 @@
 
 
 def structure(kind: type[T], value: Any) -> T:
-    """Turns plain data of another process into a typed message.
+    """Converts plain data from another process to a typed message.
 
     Args:
-        kind: The attrs class to make.
-        value: Plain data; fields not known are left out.
+        kind: The attrs class of the message.
+        value: Plain data; unknown fields are ignored.
 
     Raises:
-        DecodeError: With every mistake in the data.
+        DecodeError: If the data does not match the class.
     """
     return _structure(_converter, kind, value)
 
 
 def structure_strictly(kind: type[T], value: Any) -> T:
-    """Turns plain data that somebody wrote into a typed message.
+    """Converts plain data written by a person to a typed message.
 
     Args:
-        kind: The attrs class to make.
+        kind: The attrs class of the message.
         value: Plain data, as read from JSON or TOML.
 
     Raises:
-        DecodeError: With every mistake in the data, unknown fields included.
+        DecodeError: If the data does not match the class, or has unknown
+            fields.
     """
     return _structure(_strict_converter, kind, value)
 
@@ -218,32 +232,33 @@
 
 
 def unstructure(value: Any) -> Any:
-    """Returns the plain data of a typed message."""
+    """Converts a typed message to plain data."""
     return _converter.unstructure(value)
 
 
 def encode(value: Any) -> bytes:
-    """Returns a typed message as JSON in UTF-8."""
+    """Encodes a typed message as JSON in UTF-8."""
     return orjson.dumps(
         _converter.unstructure(value), option=orjson.OPT_SORT_KEYS
     )
 
 
 def decode(kind: type[T], data: bytes | str) -> T:
-    """Reads a typed message of another process from JSON.
+    """Decodes a typed message from another process from JSON.
 
     Raises:
         orjson.JSONDecodeError: If the data is not JSON in UTF-8.
-        DecodeError: If the JSON does not fit the type.
+        DecodeError: If the JSON does not match the class.
     """
     return structure(kind, orjson.loads(data))
 
 
 def decode_strictly(kind: type[T], data: bytes) -> T:
-    """Reads a typed message that somebody wrote from JSON.
+    """Decodes a typed message written by a person from JSON.
 
     Raises:
         orjson.JSONDecodeError: If the data is not JSON in UTF-8.
-        DecodeError: If the JSON does not fit, or has unknown fields.
+        DecodeError: If the JSON does not match the class, or has unknown
+            fields.
     """
     return structure_strictly(kind, orjson.loads(data))
--- a/src/kingcupscale/deployment.py
+++ b/src/kingcupscale/deployment.py
@@ -1,23 +1,25 @@
-"""What a node is told of its deployment, in the product's own terms."""
+"""Settings of a node's process, independent of the platform's file format."""
 
 import attrs
 
 
 @attrs.frozen
 class Bounds:
-    """Times within which the deployment wants things done, in seconds.
+    """Time limits that the deployment requires, in seconds.
 
     Attributes:
-        contact_s: Undisturbed time after which a node counts as healthy.
-        drain_s: For which a leaving server goes on serving.
-        grace_s: Between a stop's signal and the end of the process.
-        apply_s: Within which a configuration is in force.
-        apply_extension_s: More of it while the store is disturbed.
-        lease_s: Within which holders of a duty must not take turns.
+        contact_s: Time without a disturbance after which a node is healthy.
+        drain_s: Time for which a leaving server continues to serve.
+        grace_s: Time from the stop signal to the end of the process.
+        apply_s: Time until a new configuration is in force.
+        apply_extension_s: Extension of ``apply_s`` while the store is
+            disturbed.
+        lease_s: Time within which a duty must not alternate between holders.
         window_s: Length of a usage window.
-        late_s: After a window's end, when its report is late.
-        cancel_s: Within which nothing of an ended batch is sent any more.
-        retention_s: For which an ended batch can still be read.
+        late_s: Time after the end of a window when its report is late.
+        cancel_s: Time after the end of a batch within which its requests
+            stop being sent.
+        retention_s: Time for which an ended batch can still be read.
     """
 
     contact_s: float = 3.0
@@ -34,24 +36,25 @@
 
 @attrs.frozen
 class ProcessSettings:
-    """What a process is told of itself and of its surroundings.
+    """The settings of one process.
 
     Attributes:
-        node: Its name.
-        role: Name of the role it runs.
-        zone: Its availability zone.
-        callers: ``host:port`` for callers; empty if it serves none.
-        readiness: ``host:port`` for readiness; empty likewise.
-        peers: ``host:port`` for other nodes; empty likewise.
+        node: Name of the node.
+        role: Name of the role that the process runs.
+        zone: Availability zone of the node.
+        callers: ``host:port`` to listen at for callers; empty for none.
+        readiness: ``host:port`` to listen at for readiness probes; empty for
+            none.
+        peers: ``host:port`` to listen at for other nodes; empty for none.
         store: ``host:port`` of the shared store.
-        cloud: ``host:port`` of the interface for orders and usage reports.
-        seeds: Peers to begin with.
-        min_lease_s: Shortest lease that the store grants.
-        value_bytes: Largest value that the store holds.
-        heartbeat_s: Between two entries of a backend server.
-        reports_usage: Whether usage reports are wanted.
-        orders_servers: Whether servers may be ordered.
-        bounds: Times within which things are wanted.
+        cloud: ``host:port`` of the API for server orders and usage reports.
+        seeds: Addresses of the first peers to contact.
+        min_lease_s: Shortest lease that the store grants, in seconds.
+        value_bytes: Largest value that the store accepts, in bytes.
+        heartbeat_s: Interval at which a backend server updates its entry.
+        reports_usage: Whether to send usage reports.
+        orders_servers: Whether to order servers.
+        bounds: Time limits.
     """
 
     node: str
--- a/src/kingcupscale/metrics.py
+++ b/src/kingcupscale/metrics.py
@@ -1,4 +1,7 @@
-"""Histograms by organisation and class, and counters sent by statsd."""
+"""Histograms by organisation and service class, and counters.
+
+Both are kept in memory and, if there is a statsd client, also sent to statsd.
+"""
 
 import enum
 
@@ -6,13 +9,13 @@
 import hdrh.histogram
 import statsd
 
-LONGEST_MS = 3_600_000
+MAX_VALUE = 3_600_000
 SIGNIFICANT_DIGITS = 2
-HISTOGRAMS_KEPT = 512
+MAX_HISTOGRAMS = 512
 
 
 class Measure(enum.Enum):
-    """What a histogram counts."""
+    """The quantity that a histogram records."""
 
     QUEUE_MS = "queue_ms"
     FIRST_TOKEN_MS = "first_token_ms"
@@ -23,16 +26,16 @@
 
 @attrs.frozen
 class Summary:
-    """One histogram in figures.
+    """Statistics of one histogram.
 
     Attributes:
         organisation: Label of the organisation.
-        service_class: Name of the class.
-        measure: What was counted, with its unit.
-        count: How many values.
+        service_class: Name of the service class.
+        measure: The quantity, with its unit.
+        count: Number of values.
         p50: Median.
         p99: 99th percentile.
-        maximum: Largest.
+        maximum: Largest value.
     """
 
     organisation: str
@@ -59,7 +62,7 @@
         self.counts: dict[str, int] = {}
 
     def count(self, name: str, number: int = 1) -> None:
-        """Counts something by a dotted name."""
+        """Increments the counter of a dotted name."""
         self.counts[name] = self.counts.get(name, 0) + number
         if self.client is not None:
             self.client.incr(name, number)
@@ -71,23 +74,23 @@
         measure: Measure,
         value: float,
     ) -> None:
-        """Adds a value to a histogram."""
+        """Adds a value to a histogram; ignores it above ``MAX_HISTOGRAMS``."""
         key = (organisation, service_class, measure)
         histogram = self.histograms.get(key)
         if histogram is None:
-            if len(self.histograms) >= HISTOGRAMS_KEPT:
+            if len(self.histograms) >= MAX_HISTOGRAMS:
                 return
             histogram = hdrh.histogram.HdrHistogram(
-                1, LONGEST_MS, SIGNIFICANT_DIGITS
+                1, MAX_VALUE, SIGNIFICANT_DIGITS
             )
             self.histograms[key] = histogram
-        histogram.record_value(min(LONGEST_MS, max(0, round(value))))
+        histogram.record_value(min(MAX_VALUE, max(0, round(value))))
         if self.client is not None:
             name = f"{service_class}.{organisation}.{measure.value}"
             self.client.timing(name, value)
 
     def summaries(self) -> list[Summary]:
-        """Returns every histogram in figures, ordered by name."""
+        """Returns the statistics of all histograms, sorted by name."""
         ordered = sorted(
             self.histograms.items(),
             key=lambda item: (item[0][0], item[0][1], item[0][2].value),
--- a/src/kingcupscale/rendezvous.py
+++ b/src/kingcupscale/rendezvous.py
@@ -1,21 +1,21 @@
-"""Rendezvous hashing: all nodes pick the same few without talking."""
+"""Rendezvous hashing: all nodes make the same choice without coordination."""
 
 from collections.abc import Iterable
 
 from kingcupscale import hashing
 
 
-def rank(subject: str, candidates: Iterable[str]) -> list[str]:
-    """Orders candidates for a subject, the chosen one first.
+def rank(key: str, candidates: Iterable[str]) -> list[str]:
+    """Sorts candidates for a key, the preferred one first.
 
-    A candidate that comes or goes moves only the subjects it wins or held.
+    Adding or removing a candidate moves only the keys that prefer it.
 
     Args:
-        subject: What is to be placed, such as a duty or a prefix.
+        key: What to assign to a candidate, such as a duty or a prefix.
         candidates: Names to choose from.
     """
-    return sorted(candidates, key=lambda name: (-_weight(subject, name), name))
+    return sorted(candidates, key=lambda name: (-_weight(key, name), name))
 
 
-def _weight(subject: str, candidate: str) -> int:
-    return hashing.hash64(f"{subject}\0{candidate}")
+def _weight(key: str, candidate: str) -> int:
+    return hashing.hash64(f"{key}\0{candidate}")
--- a/src/kingcupscale/settings.py
+++ b/src/kingcupscale/settings.py
@@ -1,4 +1,7 @@
-"""A node's settings, read from TOML and checked in full."""
+"""The settings of a node, read from a TOML file.
+
+All problems of a file are reported together.
+"""
 
 import pathlib
 import tomllib
@@ -13,11 +16,11 @@
 
 
 class SettingsError(Exception):
-    """A file that cannot be used.
+    """An unreadable or invalid settings file.
 
     Args:
-        path: The file.
-        problems: All that is wrong with it, a line each.
+        path: Path of the file.
+        problems: A line for each problem found.
     """
 
     def __init__(self, path: str, problems: list[str]) -> None:
@@ -28,7 +31,9 @@
 
 @attrs.frozen
 class Listeners:
-    """Where a node listens, as ``host:port``; port 0 lets the system choose.
+    """Addresses that a node listens at, as ``host:port``.
+
+    For port 0 the system chooses a free port.
 
     Attributes:
         callers: For callers and trainers.
@@ -43,7 +48,7 @@
 
 @attrs.frozen
 class Platform:
-    """Addresses of what the platform gives, as ``host:port``."""
+    """Addresses of the platform's services, as ``host:port``."""
 
     key_value: str
     vm_list: str
@@ -54,7 +59,7 @@
 
 @attrs.frozen
 class OperatorKey:
-    """An operator's key, known only by its salted digest."""
+    """The salted digest of an operator's key."""
 
     salt: str
     digest: str
@@ -62,18 +67,20 @@
 
 @attrs.frozen
 class Timings:
-    """Intervals and bounds, in seconds.
+    """Intervals and time limits, in seconds.
 
     Attributes:
-        gossip_interval_s: Between two exchanges with peers.
-        suspicion_s: That a suspect has to refute.
-        isolation_bound_s: Without confirmation before admission is in doubt.
-        lease_ttl_s: A lease lasts.
-        lease_renew_s: Between two renewals.
-        order_timeout_s: An order may be under way.
-        usage_window_s: A usage window lasts.
-        drain_notice_s: Between readiness going off and the first refusal.
-        drain_limit_s: Open requests get to end.
+        gossip_interval_s: Interval between gossip exchanges with peers.
+        suspicion_s: Time that a suspected node has to refute the suspicion.
+        isolation_bound_s: Time without confirmation after which a node counts
+            as isolated, so that its admission is in doubt.
+        lease_ttl_s: Time to live of a lease.
+        lease_renew_s: Interval between renewals of a lease.
+        order_timeout_s: Longest time that an order may be in flight.
+        usage_window_s: Length of a usage window.
+        drain_notice_s: Time from the node reporting that it is not ready to
+            the first refused request.
+        drain_limit_s: Time that open requests have to finish in a drain.
     """
 
     gossip_interval_s: codec.PositiveSeconds = codec.PositiveSeconds(1.0)
@@ -89,12 +96,12 @@
 
 @attrs.frozen
 class RequestLimits:
-    """What a caller may send.
+    """Limits on requests from callers.
 
     Attributes:
-        body_bytes: Largest body.
-        header_bytes: Largest request head.
-        body_timeout_s: Seconds for a body to arrive.
+        body_bytes: Largest body, in bytes.
+        header_bytes: Largest request line with headers, in bytes.
+        body_timeout_s: Time for the whole body to arrive, in seconds.
     """
 
     body_bytes: codec.PositiveInt = codec.PositiveInt(4 * 1024 * 1024)
@@ -104,21 +111,21 @@
 
 @attrs.frozen
 class NodeSettings:
-    """Everything a node is told.
+    """The settings of a node.
 
     Attributes:
-        name: Its name, the same after a restart and unique.
-        zone: Its availability zone.
-        region: The zone's region.
-        listeners: Where it listens.
-        platform: Where the platform is.
-        seeds: Peer listeners to join by, as ``host:port``.
-        operators: Operators' keys by operator.
-        statsd: ``host:port`` for metrics; empty for none.
-        log_file: Where log events go; empty for standard error.
-        usage_shards: Into how many shares usage reports are split.
-        timings: Intervals and bounds.
-        limits: What a caller may send.
+        name: Unique name of the node; it stays the same after a restart.
+        zone: Availability zone of the node.
+        region: Region of the zone.
+        listeners: Addresses that the node listens at.
+        platform: Addresses of the platform's services.
+        seeds: Peer listeners to contact in order to join, as ``host:port``.
+        operators: Operator keys by name of the operator.
+        statsd: ``host:port`` of the statsd server; empty for none.
+        log_file: Path of the log file; empty for standard error.
+        usage_shards: Number of shards that usage reports are split into.
+        timings: Intervals and time limits.
+        limits: Limits on requests from callers.
     """
 
     name: codec.Name
@@ -139,7 +146,7 @@
     """Returns the tables of a TOML file.
 
     Raises:
-        SettingsError: If it cannot be read or is not TOML.
+        SettingsError: If the file cannot be read or is not TOML.
     """
     try:
         return tomllib.loads(pathlib.Path(path).read_text(encoding="utf-8"))
@@ -150,14 +157,14 @@
 
 
 def load(kind: type[T], path: str) -> T:
-    """Returns a TOML file as typed settings.
+    """Returns the settings in a TOML file.
 
     Args:
-        kind: The attrs class to make.
-        path: The file.
+        kind: The attrs class of the settings.
+        path: Path of the file.
 
     Raises:
-        SettingsError: With every mistake in the file.
+        SettingsError: If the file cannot be read or has invalid settings.
     """
     try:
         return codec.structure_strictly(kind, read_toml(path))
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Typed messages: strict with people, lenient with newer releases."""
+"""Tests of strict and lenient decoding, and of bytes in messages."""
 
 import base64
 import datetime
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class Example:
-    """A message with one field of each kind."""
+    """A message with one field of each checked type."""
 
     name: codec.Name
     count: codec.PositiveInt = codec.PositiveInt(1)
@@ -45,7 +45,7 @@
         self.assertEqual(mistake.path, path)
         self.assertTrue(mistake.found and mistake.expected)
 
-    def test_field_of_a_newer_release_is_left_out(self):
+    def test_field_of_a_newer_release_is_ignored(self):
         change = changes.Change(
             1,
             {"keys/a": None},
@@ -60,7 +60,7 @@
 
 @attrs.frozen
 class Bodies:
-    """A message with bytes."""
+    """A message with fields of bytes."""
 
     body: bytes
     others: list[bytes] = attrs.field(factory=list)
@@ -75,26 +75,26 @@
             ("many", os.urandom(5000)),
         ]
     )
-    def test_both_releases(self, _, body):
-        """The earlier release is understood, and never misreads this one."""
-        now = codec.make_wire_converter()
+    def test_bytes_are_compatible_with_the_earlier_release(self, _, body):
+        """Base 85 of the earlier release is decoded; it rejects base64."""
+        current = codec.make_wire_converter()
         earlier = cattrs.preconf.orjson.make_converter()
         message = Bodies(body, [body, b"y"])
-        data = now.dumps(message)
-        self.assertEqual(now.loads(data, Bodies), message)
-        self.assertEqual(now.loads(earlier.dumps(message), Bodies), message)
+        data = current.dumps(message)
+        self.assertEqual(current.loads(data, Bodies), message)
+        self.assertEqual(current.loads(earlier.dumps(message), Bodies), message)
         with self.assertRaises((ValueError, cattrs.BaseValidationError)):
             earlier.loads(data, Bodies)
 
     @parameterized.parameterized.expand(
         [("number", 5), ("half", ":YQ"), ("other", ":\u00e4"), ("85", '"')]
     )
-    def test_text_that_is_no_bytes_is_refused(self, _, text):
+    def test_invalid_encoding_of_bytes_is_rejected(self, _, text):
         with self.assertRaises((ValueError, cattrs.BaseValidationError)):
             codec.make_wire_converter().structure({"body": text}, Bodies)
 
-    def test_base64_stays_in_the_c_library(self):
-        """Base 85 has no encoder in C; it cost a tenth of a node's time."""
+    def test_bytes_are_encoded_as_base64(self):
+        """Base 85, without a C encoder, took a tenth of a node's time."""
         body = b"z" * 600
         text = codec.make_wire_converter().unstructure(Bodies(body))["body"]
         self.assertEqual(base64.b64decode(text[1:]), body)
--- a/tests/test_embedding.py
+++ b/tests/test_embedding.py
@@ -1,4 +1,4 @@
-"""Names that embedders use come from the top, and cost nothing unused."""
+"""Tests of the names that the package re-exports, and of lazy imports."""
 
 import subprocess
 import sys
@@ -13,14 +13,14 @@
     @parameterized.parameterized.expand(
         [(name,) for name in sorted(kingcupscale.__all__)]
     )
-    def test_name_is_there(self, name):
+    def test_name_is_exported(self, name):
         self.assertEqual(getattr(kingcupscale, name).__name__, name)
 
     def test_unknown_name_is_an_error(self):
         with self.assertRaises(AttributeError):
             kingcupscale.Unknown  # noqa: B018
 
-    def test_node_starts_without_what_it_does_not_run(self):
+    def test_node_loads_no_unused_modules(self):
         program = (
             "import sys, kingcupscale.commands.serving;"
             "print([m for m in sys.modules if m.endswith('_pb2')])"
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,4 +1,4 @@
-"""Helpers for tests on virtual time."""
+"""A decorator for tests on virtual time."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
