--- a/src/kingcupscale/daemon.py
+++ b/src/kingcupscale/daemon.py
@@ -1,4 +1,7 @@
-"""The thin daemon: a node with its three listeners on this machine."""
+"""The daemon: runs a node with its listeners for callers, operators and peers.
+
+It also handles stop signals and opens the log.
+"""
 
 from collections.abc import AsyncIterator
 from collections.abc import Iterator
@@ -22,14 +25,14 @@
 from kingcupscale.web import limits
 from kingcupscale.web import server
 
-# Allocations before the youngest objects are collected; a request makes
-# thousands that end by themselves.
-GC_ALLOCATIONS = 50_000
+# Allocations before a collection of the youngest generation. A request
+# allocates thousands of objects that reference counting frees.
+GC_THRESHOLD = 50_000
 
 
 @attrs.frozen
 class Addresses:
-    """Where a node's listeners are bound, as ``host:port``."""
+    """The bound addresses of a node's listeners, as ``host:port``."""
 
     callers: str
     operators: str
@@ -40,11 +43,11 @@
     """A node with its listeners.
 
     Args:
-        settings: What the node is told.
+        settings: The settings of the node.
 
     Attributes:
-        node: The node, once it has started.
-        addresses: Where it listens, once it has started.
+        node: The node, or None before the start.
+        addresses: The addresses of its listeners, or None before the start.
     """
 
     def __init__(self, settings: node_settings.NodeSettings) -> None:
@@ -60,7 +63,7 @@
         """Runs the node until its planned stop has ended or it is cancelled.
 
         Args:
-            task_status: Told where the node listens.
+            task_status: Receives the addresses once the node listens.
         """
         service = transport.PeerService()
         async with trio.open_nursery() as nursery:
@@ -88,7 +91,7 @@
     async def _serve(
         self, node: nodes.Node, task_status: trio.TaskStatus[Addresses]
     ) -> None:
-        """Serves until the node has stopped and the last answer is out."""
+        """Serves until the node has stopped and has sent all responses."""
         listeners = self.settings.listeners
         get_limits = limits.constant(
             limits.Limits(**attrs.asdict(self.settings.limits))
@@ -115,10 +118,10 @@
 
 
 async def run_until_signal(settings: node_settings.NodeSettings) -> None:
-    """Runs a node until SIGTERM or SIGINT begins its planned stop."""
+    """Runs a node; SIGTERM and SIGINT begin its planned stop."""
     daemon = Daemon(settings)
     gc.freeze()
-    gc.set_threshold(GC_ALLOCATIONS)
+    gc.set_threshold(GC_THRESHOLD)
     async with trio.open_nursery() as nursery:
         addresses = await nursery.start(daemon.run)
         print(
@@ -133,10 +136,10 @@
     if daemon.node is None:
         return
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
-        async with trio.open_nursery() as waiting:
-            waiting.start_soon(_wait_for_signal, signals, daemon.node)
+        async with trio.open_nursery() as signal_nursery:
+            signal_nursery.start_soon(_wait_for_signal, signals, daemon.node)
             await daemon.node.stopped.wait()
-            waiting.cancel_scope.cancel()
+            signal_nursery.cancel_scope.cancel()
 
 
 async def _wait_for_signal(
--- a/src/kingcupscale/node.py
+++ b/src/kingcupscale/node.py
@@ -1,4 +1,7 @@
-"""One node: every part wired together, listeners left to the daemon."""
+"""A node: creates and connects all its components and runs its tasks.
+
+The daemon adds the listeners.
+"""
 
 from collections.abc import Callable
 import functools
@@ -52,22 +55,25 @@
 from kingcupscale.usage import reporting
 from kingcupscale.web import httpclient
 
-ZONE_TICK_S = 0.5
-USAGE_TICK_S = 1.0
-DUTY_CHECK_S = 2.0
-DRAIN_POLL_S = 0.1
+# Interval at which a zone's lease holder runs the zone duty.
+ZONE_DUTY_INTERVAL_S = 0.5
+# Interval at which a shard's lease holder runs the usage duty.
+USAGE_DUTY_INTERVAL_S = 1.0
+# Interval at which the configuration is checked for new zones.
+NEW_ZONE_INTERVAL_S = 2.0
+DRAIN_POLL_INTERVAL_S = 0.1
 
 
 @attrs.frozen
 class Dependencies:
-    """What a node reaches the world by.
+    """The external dependencies of a node.
 
     Attributes:
-        http_client: Carries HTTP requests.
-        peers: Calls other nodes.
-        clock: Tells the time.
-        rng: Spreads choices.
-        peer_address: ``host:port`` at which peers reach this node.
+        http_client: Sends HTTP requests.
+        peers: Sends calls to other nodes.
+        clock: The clock to use.
+        rng: Source of random choices.
+        peer_address: ``host:port`` of this node's listener for peers.
     """
 
     http_client: httpclient.HttpClient
@@ -78,17 +84,22 @@
 
 
 class Node:
-    """One node.
+    """A node of the service.
 
     Args:
-        settings: What it is told.
-        dependencies: What it reaches the world by.
-        peer_service: Where its handlers for peers are offered.
+        settings: The settings of the node.
+        dependencies: The external dependencies.
+        peer_service: Registers the handlers for calls from other nodes.
 
     Attributes:
-        entry: Answers callers and trainers.
-        operators: Answers operators.
+        incarnation: Start time in milliseconds; tells restarts of a node
+            apart.
+        leases: The leases that the node campaigns for.
+        started_zones: Zones whose duty has been started.
+        drain_requested: Set to begin a planned stop.
         stopped: Set once a planned stop has ended.
+        caller_api: Handles requests from callers and trainers.
+        operators: Handles requests from operators.
     """
 
     def __init__(
@@ -103,16 +114,16 @@
         self.peer_service = peer_service
         self.incarnation = int(self.clock.now().timestamp() * 1000)
         self.leases: list[lease.Lease] = []
-        self.duties: set[str] = set()
+        self.started_zones: set[str] = set()
         self.drain_requested = trio.Event()
         self.stopped = trio.Event()
-        self._make_platform()
+        self._make_platform_clients()
         self._make_membership()
         self._make_configuration()
         self._make_serving()
-        self._make_operating()
+        self._make_operator_api()
 
-    def _make_platform(self) -> None:
+    def _make_platform_clients(self) -> None:
         platform = self.settings.platform
         http_client = self.dependencies.http_client
         timeout_s = self.settings.timings.order_timeout_s
@@ -221,7 +232,7 @@
             self.rollouts,
         )
 
-    def _make_operating(self) -> None:
+    def _make_operator_api(self) -> None:
         reporter = handover.HandoverReporter(
             self.replicator, self.pools, self.store, self.clock
         )
@@ -240,13 +251,13 @@
             nursery.start_soon(self.pools.run)
             nursery.start_soon(self.rollouts.run)
             nursery.start_soon(self.counter_replicator.run)
-            nursery.start_soon(self._run_configured, nursery)
+            nursery.start_soon(self._run_after_catch_up, nursery)
             await self.drain_requested.wait()
             await self._drain()
             nursery.cancel_scope.cancel()
         self.stopped.set()
 
-    async def _run_configured(self, nursery: trio.Nursery) -> None:
+    async def _run_after_catch_up(self, nursery: trio.Nursery) -> None:
         await self.replicator.catch_up()
         events.log(
             events.Event.NODE_STARTED,
@@ -261,18 +272,18 @@
             self._start_usage_duty(shard, nursery)
         while True:
             self._start_zone_duties(nursery)
-            await self.clock.sleep(DUTY_CHECK_S)
+            await self.clock.sleep(NEW_ZONE_INTERVAL_S)
 
     def _start_zone_duties(self, nursery: trio.Nursery) -> None:
         for zone in self.replica.document.zones:
-            if zone not in self.duties:
-                self.duties.add(zone)
+            if zone not in self.started_zones:
+                self.started_zones.add(zone)
                 self._start_zone_duty(zone, nursery)
 
     def _start_zone_duty(self, zone: str, nursery: trio.Nursery) -> None:
-        held = self._start_lease(f"zone/{zone}", zone, nursery)
+        managed_lease = self._start_lease(f"zone/{zone}", zone, nursery)
         order_sender = ordersender.OrderSender(
-            held, journal.Journal(self.store, held)
+            managed_lease, journal.Journal(self.store, managed_lease)
         )
         weights = activation.WeightActivator(
             zone,
@@ -293,15 +304,17 @@
         )
         duty = zones.ZoneDuty(order_sender, weights, servers)
         nursery.start_soon(
-            runner.DutyRunner(held, duty, self.clock, ZONE_TICK_S).run
+            runner.DutyRunner(
+                managed_lease, duty, self.clock, ZONE_DUTY_INTERVAL_S
+            ).run
         )
 
     def _start_usage_duty(self, shard: int, nursery: trio.Nursery) -> None:
-        held = self._start_lease(f"usage/{shard}", "", nursery)
+        managed_lease = self._start_lease(f"usage/{shard}", "", nursery)
         duty = reporting.UsageDuty(
             shard,
             self.settings.usage_shards,
-            held,
+            managed_lease,
             self.store,
             self.intake,
             self.counter_replicator,
@@ -309,14 +322,16 @@
             self.settings.timings.usage_window_s,
         )
         nursery.start_soon(
-            runner.DutyRunner(held, duty, self.clock, USAGE_TICK_S).run
+            runner.DutyRunner(
+                managed_lease, duty, self.clock, USAGE_DUTY_INTERVAL_S
+            ).run
         )
 
     def _start_lease(
         self, name: str, zone: str, nursery: trio.Nursery
     ) -> lease.Lease:
         timings = self.settings.timings
-        held = lease.Lease(
+        managed_lease = lease.Lease(
             self.store,
             name,
             self.settings.name,
@@ -327,15 +342,23 @@
                 timings.order_timeout_s,
             ),
         )
-        self.leases.append(held)
+        self.leases.append(managed_lease)
         rule: Callable[[], bool] = functools.partial(
             candidates.is_candidate, name, self.members, zone
         )
-        nursery.start_soon(lease.LeaseManager(held, rule, self.clock).run)
-        return held
+        nursery.start_soon(
+            lease.LeaseManager(managed_lease, rule, self.clock).run
+        )
+        return managed_lease
 
     async def _drain(self) -> None:
-        """Ends everything in order: announce, finish, hand over, leave."""
+        """Stops the node after open requests had time to finish.
+
+        The node reports that it is not ready, refuses new requests, cancels
+        its rollouts and waits for open requests, up to the drain limit. Then it
+        releases its leases, replicates its usage counters and leaves the
+        membership.
+        """
         timings = self.settings.timings
         events.log(events.Event.NODE_DRAINING, node=self.settings.name)
         self.caller_api.is_unready = True
@@ -344,16 +367,16 @@
         self.rollouts.cancel_all()
         with trio.move_on_after(timings.drain_limit_s):
             while self.caller_api.active or self.sessions.open_sessions:
-                await self.clock.sleep(DRAIN_POLL_S)
+                await self.clock.sleep(DRAIN_POLL_INTERVAL_S)
         await self._release_leases()
         await self.counter_replicator.replicate(own_only=False)
         await self.gossip.leave()
         events.log(events.Event.NODE_STOPPED, node=self.settings.name)
 
     async def _release_leases(self) -> None:
-        for held in self.leases:
+        for managed_lease in self.leases:
             try:
-                await held.release()
+                await managed_lease.release()
             except calls.PlatformError as e:
                 events.log(
                     events.Event.STORE_FAILED,
@@ -362,7 +385,7 @@
                 )
 
     def read_status(self) -> messages.StatusResponse:
-        """Returns how the node stands."""
+        """Returns the status of the node."""
         now = self.clock.monotonic()
         return messages.StatusResponse(
             self.settings.name,
