--- a/src/kingcupscale/capacity/zonescaler.py
+++ b/src/kingcupscale/capacity/zonescaler.py
@@ -170,11 +170,11 @@
     ) -> ordersender.Outcome:
         """Sends one order from the journal to the capacity provider."""
         body = codec.decode(capacityprovider.CapacityOrder, order.detail)
-        answer = await self.provider.order(
+        response = await self.provider.order(
             attrs.evolve(body, epoch=order.epoch), lease_check
         )
-        text = answer.server if answer.accepted else answer.reason
-        return ordersender.Outcome(answer.accepted, text)
+        text = response.server if response.accepted else response.reason
+        return ordersender.Outcome(response.accepted, text)
 
     async def _update_configuration(
         self, listed: list[capacityprovider.OrderedServer]
--- a/src/kingcupscale/clock.py
+++ b/src/kingcupscale/clock.py
@@ -10,8 +10,8 @@
 
 import trio
 
-# Periodic tasks wake at multiples of this interval, so that they wake the
-# process together.
+# Periodic tasks wake at multiples of this interval, so that the process wakes
+# for all of them at most once per interval.
 WAKE_INTERVAL_S = 0.1
 
 
--- a/src/kingcupscale/codec.py
+++ b/src/kingcupscale/codec.py
@@ -159,9 +159,7 @@
     )
     hook(
         PositiveSeconds,
-        _make_range_check(
-            (int, float), 0, True, "a number of seconds is_exclusive 0"
-        ),
+        _make_range_check((int, float), 0, True, "a number of seconds above 0"),
     )
     hook(Name, _structure_name)
     hook(datetime.datetime, _structure_datetime)
--- a/src/kingcupscale/metrics.py
+++ b/src/kingcupscale/metrics.py
@@ -9,6 +9,7 @@
 import hdrh.histogram
 import statsd
 
+# Largest value recorded; for times, an hour in milliseconds.
 MAX_VALUE = 3_600_000
 SIGNIFICANT_DIGITS = 2
 MAX_HISTOGRAMS = 512
--- a/src/kingcupscale/node.py
+++ b/src/kingcupscale/node.py
@@ -92,8 +92,8 @@
         peer_service: Registers the handlers for calls from other nodes.
 
     Attributes:
-        incarnation: Start time in milliseconds; tells restarts of a node
-            apart.
+        incarnation: Start time in milliseconds; distinguishes restarts of a
+            node.
         leases: The leases that the node campaigns for.
         started_zones: Zones whose duty has been started.
         drain_requested: Set to begin a planned stop.
--- a/src/kingcupscale/providers/keyvalue.py
+++ b/src/kingcupscale/providers/keyvalue.py
@@ -136,8 +136,8 @@
 
     async def get(self, key: str) -> Entry | None:
         """Returns the entry of a key, or None."""
-        answer = await self._call("/kv/get", GetRequest(key), GetResponse)
-        return answer.entries[0] if answer.entries else None
+        response = await self._call("/kv/get", GetRequest(key), GetResponse)
+        return response.entries[0] if response.entries else None
 
     async def scan(self, prefix: str, after: str = "") -> GetResponse:
         """Returns the entries under a prefix with keys after ``after``."""
@@ -199,10 +199,10 @@
     reason = ""
     for _ in range(PUT_ATTEMPTS):
         try:
-            answer = await store.put(key, value, if_version, lease_s)
+            response = await store.put(key, value, if_version, lease_s)
             return (
-                answer
-                if answer.written
+                response
+                if response.written
                 else await _check_written(store, key, value)
             )
         except calls.PlatformError as e:
