--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -209,7 +209,7 @@
     breaks.Break(
         "accepted configuration in force, never reverts",
         "configuration/editor.py",
-        "if not is_enough and not self.admission.is_majority(set(reached)):",
+        "if not is_waived and not self.admission.is_majority(set(reached)):",
         "if False:",
         "tests.test_configuration.ClusterTest"
         ".test_change_that_too_few_confirm_is_not_called_accepted",
--- a/src/kingcupscale/configuration/__init__.py
+++ b/src/kingcupscale/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' configuration: checked, decided once, in force everywhere."""
+"""Validation, storage and replication of the configuration."""
--- a/src/kingcupscale/configuration/admission.py
+++ b/src/kingcupscale/configuration/admission.py
@@ -1,4 +1,4 @@
-"""Whether a node knows enough of the configuration to admit requests."""
+"""Decides whether a node's configuration is current enough to serve."""
 
 from kingcupscale import clock as clocks
 from kingcupscale import errors
@@ -6,33 +6,35 @@
 from kingcupscale.configuration import replica as replicas
 from kingcupscale.peering import members as membership
 
-ISOLATION_BOUND_S = 12.0
-CONTACT_BOUND_S = 6.0
-READY_RETRY_S = 1.0
+MAX_CONFIRMATION_AGE_S = 12.0
+MAX_CONTACT_AGE_S = 6.0
+RETRY_AFTER_S = 1.0
 
 
 class Admission:
-    """Keeps a node that may have missed a withdrawal from admitting.
+    """Stops a node that may have missed a key withdrawal from admitting.
 
-    A node is *confirmed* as of the time at which someone read the store, if
-    by then it had everything that was in it. Confirmed within the bound, it
-    admits. Otherwise it admits only while it is in fresh touch with a majority
-    of the nodes entered in its configuration: a change is accepted only by a
-    node with such a majority in reach, so any change since then has reached
-    somebody in this node's reach as well.
+    A revision is *confirmed* as of a time if a read of the store that began
+    at that time, by this node or a peer, found nothing newer. A node admits
+    requests while its last confirmation is recent enough. Otherwise it admits
+    only while it has recent contact with a majority of the nodes registered
+    in its configuration. A change is accepted only by a node that reaches
+    such a majority, so any change that this node missed is known to at least
+    one node that it can reach.
 
     Args:
-        replica: The node's configuration.
-        members: The members it knows.
-        clock: Tells the time.
-        bound_s: Longest time without confirmation, in seconds.
+        replica: The node's replica of the configuration.
+        members: The membership table.
+        clock: Source of monotonic time.
+        max_age_s: Longest time without a confirmation, in seconds.
 
     Attributes:
         confirmed_at: Monotonic time as of which the revision is known to be
             the newest; None before the first confirmation.
-        contact_at: Monotonic time at which a peer was last asked that then
-            had nothing newer; None before the first.
+        contact_at: Monotonic time of the latest request to which a peer
+            replied that it had nothing newer; None before the first.
         ready: Whether the node has caught up since it started.
+        last_admitting: The last result of ``is_admitting``, to log changes.
     """
 
     def __init__(
@@ -40,75 +42,77 @@
         replica: replicas.Replica,
         members: membership.Members,
         clock: clocks.Clock,
-        bound_s: float = ISOLATION_BOUND_S,
+        max_age_s: float = MAX_CONFIRMATION_AGE_S,
     ) -> None:
         self.replica = replica
         self.members = members
         self.clock = clock
-        self.bound_s = bound_s
+        self.max_age_s = max_age_s
         self.confirmed_at: float | None = None
         self.contact_at: float | None = None
         self.ready = False
         self.last_admitting: bool | None = None
 
     def confirm(self, at: float) -> None:
-        """Notes that the revision was the newest at a time."""
+        """Records that the revision was the newest at a given time."""
         if self.confirmed_at is None or at > self.confirmed_at:
             self.confirmed_at = at
-        # An old confirmation, heard of in an outage, readies no start.
+        # During a store outage, peers may send a confirmation that is too old
+        # to make a starting node ready.
         self.ready = self.ready or self.is_confirmed()
 
     def record_contact(self, at: float) -> None:
-        """Notes that a peer asked at a time had nothing newer."""
+        """Records that a peer, asked at a given time, had nothing newer."""
         self.contact_at = max(at, self.contact_at or at)
 
     def _has_fresh_contact(self) -> bool:
-        """Tells whether what is known of the members is of now.
+        """Returns whether the membership table is recent enough to rely on.
 
-        A node that was suspended still counts everybody as alive.
+        A process that was suspended still lists all members as alive.
         """
         if self.replica.document.nodes.keys() <= {self.members.me.name}:
             return True
         if self.contact_at is None:
             return False
-        return self.clock.monotonic() - self.contact_at <= CONTACT_BOUND_S
+        return self.clock.monotonic() - self.contact_at <= MAX_CONTACT_AGE_S
 
     def confirmed_age_s(self) -> float | None:
-        """Returns seconds since the time of confirmation."""
+        """Returns the age of the last confirmation in seconds."""
         if self.confirmed_at is None:
             return None
         return self.clock.monotonic() - self.confirmed_at
 
     def is_confirmed(self) -> bool:
-        """Tells whether the confirmation is within the bound."""
+        """Returns whether the last confirmation is recent enough."""
         age = self.confirmed_age_s()
-        return age is not None and age <= self.bound_s
+        return age is not None and age <= self.max_age_s
 
     def has_majority(self) -> bool:
-        """Tells whether enough of the entered nodes are in reach."""
+        """Returns whether a majority of the registered nodes is alive."""
         return self.is_majority({m.name for m in self.members.alive()})
 
     def is_majority(self, names: set[str]) -> bool:
-        """Tells whether names are a majority of the entered nodes.
+        """Returns whether names include a majority of the registered nodes.
 
-        Of an even number, the half with the first name counts as enough.
+        Of an even number of nodes, the half with the alphabetically first
+        name counts as a majority.
         """
-        roster = self.replica.document.nodes.keys()
-        reached = len(names & roster)
-        if roster and 2 * reached == len(roster):
-            return min(roster) in names
-        return 2 * reached > len(roster)
+        registered = self.replica.document.nodes.keys()
+        reached = len(names & registered)
+        if registered and 2 * reached == len(registered):
+            return min(registered) in names
+        return 2 * reached > len(registered)
 
     def is_admitting(self) -> bool:
-        """Tells whether the node admits requests."""
+        """Returns whether the node admits requests, and logs a change."""
         is_in_majority = self._has_fresh_contact() and self.has_majority()
         is_admitting = self.ready and (self.is_confirmed() or is_in_majority)
         if is_admitting != self.last_admitting:
             self.last_admitting = is_admitting
-            self._announce(is_admitting)
+            self._log_change(is_admitting)
         return is_admitting
 
-    def _announce(self, is_admitting: bool) -> None:
+    def _log_change(self, is_admitting: bool) -> None:
         events.log(
             events.Event.ADMISSION_CHANGED,
             node=self.members.me.name,
@@ -117,10 +121,11 @@
         )
 
     def check(self) -> None:
-        """Lets a request in.
+        """Checks that the node may admit a request.
 
         Raises:
-            ServiceError: ``NOT_READY`` or ``ISOLATED``.
+            ServiceError: ``NOT_READY`` before the node has caught up,
+                ``ISOLATED`` if its configuration may be outdated.
         """
         if self.is_admitting():
             return
@@ -129,4 +134,4 @@
             if self.ready
             else errors.ResultCode.NOT_READY
         )
-        raise errors.ServiceError(code, retry_after_s=READY_RETRY_S)
+        raise errors.ServiceError(code, retry_after_s=RETRY_AFTER_S)
--- a/src/kingcupscale/configuration/change.py
+++ b/src/kingcupscale/configuration/change.py
@@ -1,4 +1,4 @@
-"""One accepted change, and how changes are computed and shown."""
+"""Changes of the configuration: types, comparison, application, display."""
 
 import datetime
 from typing import Any
@@ -7,20 +7,20 @@
 
 from kingcupscale.configuration import document
 
-MISSING = None
+REMOVED = None
 
 
 @attrs.frozen
 class Change:
-    """What turns one revision into the next.
+    """An accepted change, which turns one revision into the next.
 
     Attributes:
-        revision: The revision it makes, counted up by one.
-        entries: New value by ``table/name``; None for a removed entry.
-        operator: Who made it.
-        reason: Why.
-        at: When it was accepted, in UTC.
-        token: Unique to the write.
+        revision: The revision it creates, one above the last.
+        entries: New values by ``table/name``; None for a removed entry.
+        operator: Name of the operator who made it.
+        reason: Why the operator made it.
+        at: Time at which it was made, in UTC.
+        token: Unique token of the write, which tells whether it succeeded.
     """
 
     revision: int
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class Snapshot:
-    """All entries as of a revision."""
+    """All entries of the configuration at one revision."""
 
     revision: int
     entries: dict[str, Any]
@@ -41,36 +41,41 @@
 
 @attrs.frozen
 class Batch:
-    """What brings a node forward: a snapshot, if needed, and changes."""
+    """An update of a replica: changes, after a snapshot if needed."""
 
     snapshot: Snapshot | None
     changes: list[Change]
 
 
 def difference(old: document.Entries, new: document.Entries) -> dict[str, Any]:
-    """Returns the entries that turn one configuration into another."""
+    """Returns the changed entries between two configurations.
+
+    A removed entry has the value ``REMOVED``.
+    """
     changed = {
         path: entry for path, entry in new.items() if old.get(path) != entry
     }
-    removed = {path: MISSING for path in old if path not in new}
+    removed = {path: REMOVED for path in old if path not in new}
     return {**changed, **removed}
 
 
 def apply(entries: document.Entries, change: Change) -> document.Entries:
-    """Returns the entries after a change."""
+    """Returns the entries with a change applied."""
     merged = {**entries, **change.entries}
-    return {path: e for path, e in merged.items() if e is not MISSING}
+    return {path: e for path, e in merged.items() if e is not REMOVED}
 
 
 def describe(entries: dict[str, Any]) -> list[str]:
-    """Returns a line for each changed entry, keys' digests left out."""
+    """Returns a line for each changed entry, without the digests of keys."""
     return [
-        f"- {path}" if entry is MISSING else f"+ {path} {_shorten(path, entry)}"
+        f"- {path}"
+        if entry is REMOVED
+        else f"+ {path} {_summarize(path, entry)}"
         for path, entry in sorted(entries.items())
     ]
 
 
-def _shorten(path: str, entry: Any) -> str:
+def _summarize(path: str, entry: Any) -> str:
     if path.startswith("keys/"):
         return f"{entry.get('organisation')} {entry.get('service_class')}"
     return str(entry)
--- a/src/kingcupscale/configuration/check.py
+++ b/src/kingcupscale/configuration/check.py
@@ -1,4 +1,4 @@
-"""Checking a configuration, all mistakes at once."""
+"""Validates a configuration and reports all mistakes together."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -6,7 +6,8 @@
 from kingcupscale import codec
 from kingcupscale.configuration import document
 
-# Field of a table's entries, and the table its value must name an entry of.
+# References: a table, a field of its entries, and the table in which the
+# value of the field must name an entry.
 _REFERENCES = (
     ("keys", "organisation", "organisations"),
     ("keys", "service_class", "classes"),
@@ -22,10 +23,10 @@
 
 
 class ConfigurationError(ValueError):
-    """A configuration that cannot be accepted.
+    """Raised for an invalid configuration.
 
     Args:
-        mistakes: All that is wrong.
+        mistakes: All mistakes found.
     """
 
     def __init__(self, mistakes: list[codec.Mistake]) -> None:
@@ -34,10 +35,10 @@
 
 
 def check(tables: Any) -> document.Document:
-    """Checks plain tables and returns them typed.
+    """Validates tables and returns them as a typed document.
 
     Args:
-        tables: As read from TOML.
+        tables: Tables as read from a TOML file.
 
     Raises:
         ConfigurationError: With every mistake found.
@@ -49,10 +50,10 @@
     except codec.DecodeError as e:
         mistakes += e.mistakes
     if isinstance(tables, dict):
-        mistakes += _find_dangling(tables)
+        mistakes += _find_unknown_references(tables)
         mistakes += _find_unknown_zones(tables)
-        mistakes += _find_unknown_scaling(tables)
-        mistakes += _find_shared_addresses(tables)
+        mistakes += _find_unknown_scaling_classes(tables)
+        mistakes += _find_wrong_addresses(tables)
     if mistakes:
         raise ConfigurationError(mistakes)
     return checked
@@ -65,13 +66,13 @@
     return {k: v for k, v in entries.items() if isinstance(v, dict)}
 
 
-def _find_dangling(tables: dict[str, Any]) -> Iterator[codec.Mistake]:
+def _find_unknown_references(tables: dict[str, Any]) -> Iterator[codec.Mistake]:
     for table, field, target in _REFERENCES:
         known = _entries(tables, target)
         for name, entry in _entries(tables, table).items():
             value = entry.get(field, "")
             if isinstance(value, str) and value and value not in known:
-                yield _unknown(f"{table}.{name}.{field}", value, target)
+                yield _unknown_name(f"{table}.{name}.{field}", value, target)
 
 
 def _find_unknown_zones(tables: dict[str, Any]) -> Iterator[codec.Mistake]:
@@ -79,30 +80,32 @@
     for path, server in _servers(tables):
         zone = server.get("zone")
         if isinstance(zone, str) and zone not in zones:
-            yield _unknown(f"{path}.zone", zone, "zones")
+            yield _unknown_name(f"{path}.zone", zone, "zones")
 
 
-def _find_unknown_scaling(tables: dict[str, Any]) -> Iterator[codec.Mistake]:
+def _find_unknown_scaling_classes(
+    tables: dict[str, Any],
+) -> Iterator[codec.Mistake]:
     classes = _entries(tables, "classes")
     for name, service in _entries(tables, "services").items():
         scaling = service.get("scaling")
         value = scaling.get("service_class") if _is_table(scaling) else None
         if isinstance(value, str) and value not in classes:
             path = f"services.{name}.scaling.service_class"
-            yield _unknown(path, value, "classes")
+            yield _unknown_name(path, value, "classes")
 
 
-def _find_shared_addresses(tables: dict[str, Any]) -> Iterator[codec.Mistake]:
+def _find_wrong_addresses(tables: dict[str, Any]) -> Iterator[codec.Mistake]:
     seen: dict[str, str] = {}
     for path, server in _servers(tables):
         address = server.get("address")
         if not isinstance(address, str):
             continue
         if address in seen:
-            expected = f"an address other than that of {seen[address]}"
+            expected = f"an address not used by {seen[address]}"
             yield codec.Mistake(f"{path}.address", repr(address), expected)
         elif not _is_address(address):
-            expected = "host:port with a port of 1 to 65535"
+            expected = "host:port with a port from 1 to 65535"
             yield codec.Mistake(f"{path}.address", repr(address), expected)
         seen.setdefault(address, path)
 
@@ -122,5 +125,7 @@
     return bool(host) and port.isdigit() and 0 < int(port) < 65536
 
 
-def _unknown(path: str, value: str, target: str) -> codec.Mistake:
-    return codec.Mistake(path, repr(value), f"the name of one of {target}")
+def _unknown_name(path: str, value: str, target: str) -> codec.Mistake:
+    return codec.Mistake(
+        path, repr(value), f"the name of an entry in the table {target}"
+    )
--- a/src/kingcupscale/configuration/document.py
+++ b/src/kingcupscale/configuration/document.py
@@ -1,4 +1,4 @@
-"""What operators configure, as typed tables."""
+"""Typed tables of the configuration, and their flat form."""
 
 import enum
 from typing import Any
@@ -25,17 +25,20 @@
 
 @attrs.frozen
 class ServiceClass:
-    """A class of work and its targets.
+    """A service class: the priority, targets and limits of its requests.
 
     Attributes:
-        priority: Higher is served first.
-        latency_s: Target for the first token or the whole plain answer.
-        deadline_s: Longest wait for a server before the request is refused.
-        queue: Most requests that wait on one node.
-        freshness_versions: Oldest weights allowed, in versions behind the
-            trainer's; None where any will do.
-        cost_per_hour: Most that servers for this class may cost an hour.
-        cheap: Whether it may run on servers that can be reclaimed.
+        priority: Requests of a higher priority are served first.
+        latency_s: Target latency of the first token, or of a plain service's
+            whole response, in seconds.
+        deadline_s: Longest time in the queue before a request is refused, in
+            seconds.
+        queue: Maximum number of queued requests on one node.
+        freshness_versions: How many versions the weights may be behind the
+            trainer's newest; None for no limit.
+        cost_per_hour: Maximum hourly cost of the servers for this class;
+            None for no limit.
+        cheap: Whether it may run on preemptible servers.
     """
 
     priority: int
@@ -49,11 +52,11 @@
 
 @attrs.frozen
 class Organisation:
-    """A customer.
+    """A customer organisation.
 
     Attributes:
-        label: What backend servers and reports call it.
-        streams: Most requests it may have open on one node.
+        label: Its name towards backend servers and in usage reports.
+        streams: Maximum number of open requests on one node.
     """
 
     label: codec.Name
@@ -62,14 +65,14 @@
 
 @attrs.frozen
 class Key:
-    """A caller's key, known only by its salted digest.
+    """A caller's API key, stored as a salted digest.
 
     Attributes:
-        organisation: Whose key it is.
-        service_class: Class of the work done with it.
+        organisation: The organisation that the key belongs to.
+        service_class: Service class of requests with this key.
         salt: Random hexadecimal salt.
-        digest: Digest of salt and secret.
-        trainer: The trainer it belongs to, or empty.
+        digest: Digest of the salted key, in hexadecimal.
+        trainer: The trainer that the key belongs to, or empty.
     """
 
     organisation: codec.Name
@@ -80,7 +83,7 @@
 
 
 class ServiceKind(enum.Enum):
-    """What stands behind a service's name."""
+    """Kind of a service's backend servers."""
 
     ENGINE = "engine"
     PLAIN = "plain"
@@ -88,13 +91,13 @@
 
 @attrs.frozen
 class BackendServer:
-    """One backend server.
+    """A backend server.
 
     Attributes:
         address: ``host:port``.
         zone: Availability zone.
-        slots: Requests it serves well at the same time.
-        cheap: Whether it may be reclaimed at a few seconds' notice.
+        slots: Number of requests it can serve concurrently.
+        cheap: Whether it is preemptible, with a few seconds' notice.
     """
 
     address: str
@@ -105,14 +108,14 @@
 
 @attrs.frozen
 class Scaling:
-    """How many servers a zone may order for a service.
+    """Limits of the servers ordered for a service in each zone.
 
     Attributes:
-        service_class: The class whose latency and cost targets decide.
-        minimum: Servers always kept.
-        maximum: Most servers.
-        cheap: Whether to order cheap ones.
-        slots: Slots of an ordered server.
+        service_class: The service class whose latency and cost targets apply.
+        minimum: Minimum number of servers.
+        maximum: Maximum number of servers.
+        cheap: Whether to order preemptible servers.
+        slots: Number of slots of an ordered server.
     """
 
     service_class: codec.Name
@@ -127,13 +130,14 @@
     """A service and its backend servers.
 
     Attributes:
-        kind: Model engines or plain servers.
+        kind: Whether the servers are model engines or plain HTTP servers.
         backend_servers: By name.
-        idempotent: Whether every call may be repeated. GET and HEAD always
+        idempotent: Whether every call may be retried. GET and HEAD always
             may.
-        fenced: Whether its servers refuse orders with an old epoch.
-        timeout_s: Longest time a plain call may take.
-        scaling: Servers to order, or None for none.
+        fenced: Whether its servers refuse orders with an outdated epoch
+            (fencing token).
+        timeout_s: Timeout of a call to a plain service, in seconds.
+        scaling: Limits for ordering servers; None to order none.
     """
 
     kind: ServiceKind
@@ -146,13 +150,13 @@
 
 @attrs.frozen
 class OpenRoute:
-    """Paths of a plain service that need no key.
+    """Paths of a plain service that can be called without a key.
 
     Attributes:
         service: The plain service.
         path: Path prefix at the service.
-        organisation: Whom the calls count for.
-        service_class: Class of the work.
+        organisation: The organisation to which the calls are charged.
+        service_class: Service class of the calls.
     """
 
     service: codec.Name
@@ -166,9 +170,9 @@
     """An availability zone.
 
     Attributes:
-        region: Region it lies in.
-        server_cost_per_hour: Price of an ordinary server.
-        cheap_cost_per_hour: Price of a cheap one.
+        region: Region of the zone.
+        server_cost_per_hour: Hourly price of a regular server.
+        cheap_cost_per_hour: Hourly price of a preemptible server.
     """
 
     region: codec.Name
@@ -178,12 +182,12 @@
 
 @attrs.frozen
 class Trainer:
-    """A trainer.
+    """A trainer, which requests rollouts.
 
     Attributes:
-        organisation: Whose trainer it is.
-        service: The engine service its rollouts run on.
-        service_class: Class of its rollouts.
+        organisation: The organisation that the trainer belongs to.
+        service: The engine service that runs its rollouts.
+        service_class: Service class of its rollouts.
         scorer: Plain service that scores samples, or empty.
     """
 
@@ -195,7 +199,7 @@
 
 @attrs.frozen
 class Node:
-    """A node of the system, entered by the nodes themselves.
+    """A node of the system, registered by the nodes themselves.
 
     Attributes:
         zone: Availability zone.
@@ -209,8 +213,8 @@
     """A backend server that a zone's lease holder has ordered.
 
     Attributes:
-        service: The service it is for.
-        server: The server.
+        service: The service that it was ordered for.
+        server: Its address, zone and slots.
     """
 
     service: codec.Name
@@ -219,7 +223,7 @@
 
 @attrs.frozen
 class Document:
-    """The whole configuration, one attribute a table."""
+    """The whole configuration, with one attribute per table."""
 
     classes: dict[codec.Name, ServiceClass] = attrs.field(factory=dict)
     organisations: dict[codec.Name, Organisation] = attrs.field(factory=dict)
@@ -233,7 +237,7 @@
 
 
 def flatten(tables: dict[str, Any]) -> Entries:
-    """Returns tables of named entries as one table by ``table/name``."""
+    """Returns the entries of all tables in one dict by ``table/name``."""
     return {
         f"{table}/{name}": entry
         for table, entries in tables.items()
@@ -242,7 +246,7 @@
 
 
 def unflatten(entries: Entries) -> dict[str, Any]:
-    """Returns entries by ``table/name`` as tables of named entries."""
+    """Returns entries by ``table/name`` as a dict of tables."""
     tables: dict[str, Any] = {}
     for path, entry in entries.items():
         table, _, name = path.partition("/")
@@ -251,5 +255,5 @@
 
 
 def is_system_path(path: str) -> bool:
-    """Tells whether an entry is kept by the nodes, not by operators."""
+    """Returns whether nodes, not operators, maintain an entry."""
     return path.partition("/")[0] in SYSTEM_TABLES
--- a/src/kingcupscale/configuration/editor.py
+++ b/src/kingcupscale/configuration/editor.py
@@ -1,4 +1,4 @@
-"""Accepting changes: operators' own and those the nodes make."""
+"""Accepts configuration changes of operators and of the nodes themselves."""
 
 from typing import Any
 
@@ -18,10 +18,10 @@
 from kingcupscale.providers import keyvalue
 
 SYSTEM_OPERATOR = "system"
-LOST_AFTER_S = 600.0
+REMOVE_LOST_AFTER_S = 600.0
 MAINTENANCE_INTERVAL_S = 5.0
 RETRY_AFTER_S = 2.0
-ATTEMPTS = 5
+MAX_ATTEMPTS = 5
 
 
 @attrs.frozen
@@ -29,10 +29,10 @@
     """An accepted change.
 
     Attributes:
-        revision: The revision in which it is in force.
+        revision: The revision that contains the change.
         in_force: Names of the nodes that have confirmed it.
-        pending: Names of the other members, which get it by gossip or stop
-            admitting.
+        pending: Names of the other live members, which receive it by gossip
+            or stop admitting requests.
     """
 
     revision: int
@@ -42,15 +42,15 @@
 
 @attrs.frozen
 class Proposal:
-    """What an operator wants changed.
+    """A change that an operator asks for.
 
     Attributes:
-        entries: New value by ``table/name``; None removes.
-        if_revision: The revision the operator saw.
-        operator: Who asks.
-        reason: Why.
-        without_majority: Accept although most nodes are out of reach, since
-            the operator knows that they are gone.
+        entries: New values by ``table/name``; None removes an entry.
+        if_revision: The revision that the change is based on.
+        operator: Name of the operator.
+        reason: Why the operator asks for it.
+        without_majority: Accept the change although most nodes are
+            unreachable, because the operator knows that they are gone.
     """
 
     entries: dict[str, Any]
@@ -61,33 +61,33 @@
 
 
 class ConflictError(errors.ServiceError):
-    """A change on a revision that is no longer the newest.
+    """Raised for a change that is based on an outdated revision.
 
     Args:
-        proposal: What was asked for.
+        proposal: The proposed change.
         revision: The newest revision.
-        since: What changed since the operator looked, a line an entry.
+        since: Entries changed since the proposal's revision, one line each.
     """
 
     def __init__(
         self, proposal: Proposal, revision: int, since: list[str]
     ) -> None:
-        lines = "; ".join(since) or "nothing that is still in the log"
+        lines = "; ".join(since) or "not available from the change log"
         super().__init__(
             errors.ResultCode.REVISION_CONFLICT,
-            f"you saw revision {proposal.if_revision}, the newest is"
-            f" {revision}; since then: {lines}",
+            f"the change is based on revision {proposal.if_revision}, but the"
+            f" newest is {revision}; changes since then: {lines}",
         )
         self.revision = revision
         self.since = since
 
 
 class Editor:
-    """Decides changes through the store and brings them into force.
+    """Writes accepted changes to the store and pushes them to all nodes.
 
     Args:
-        replicator: Brings changes to every node.
-        clock: Tells the time.
+        replicator: Replicates changes to all nodes.
+        clock: Source of the time.
     """
 
     def __init__(
@@ -102,22 +102,23 @@
         self.clock = clock
 
     async def propose(self, proposal: Proposal) -> AcceptedChange:
-        """Accepts a change or says why not.
+        """Accepts a change, or raises an error that gives the reason.
 
         Raises:
-            ConflictError: If others changed the configuration meanwhile.
+            ConflictError: If another operator changed the configuration since
+                the proposal's revision.
             ServiceError: ``CONFIGURATION_INVALID``, ``MAJORITY_LOST``,
                 ``STORE_UNAVAILABLE`` or ``CONFIGURATION_UNDECIDED``.
         """
-        change = await self._decide(proposal)
+        change = await self._write_change(proposal)
         reached = await self.replicator.push()
         self._log_accepted(change)
         await self._compact()
-        return self._accepted(reached, proposal.without_majority)
+        return self._make_result(reached, proposal.without_majority)
 
-    async def _decide(self, proposal: Proposal) -> changes.Change:
-        """Appends a change, again if only the nodes' own came between."""
-        for _ in range(ATTEMPTS):
+    async def _write_change(self, proposal: Proposal) -> changes.Change:
+        """Appends a change; retries if only nodes wrote changes meanwhile."""
+        for _ in range(MAX_ATTEMPTS):
             await self._read_store()
             self._check_majority(proposal)
             self._check_revision(proposal)
@@ -133,18 +134,20 @@
         except calls.PlatformError as e:
             raise errors.ServiceError(
                 errors.ResultCode.STORE_UNAVAILABLE,
-                f"{e.reason}; to withdraw a key now, use --emergency",
+                f"cannot read the store: {e.reason}; to withdraw a key without"
+                " the store, use --emergency",
                 retry_after_s=RETRY_AFTER_S,
             ) from e
 
     def _check_majority(self, proposal: Proposal) -> None:
-        roster = self.replica.document.nodes
-        if proposal.without_majority or not roster:
+        registered = self.replica.document.nodes
+        if proposal.without_majority or not registered:
             return
         if not self.admission.has_majority():
             raise errors.ServiceError(
                 errors.ResultCode.MAJORITY_LOST,
-                f"fewer than half of {len(roster)} nodes are in reach",
+                f"expected a majority of the {len(registered)} nodes to be"
+                " reachable, but fewer are",
                 retry_after_s=RETRY_AFTER_S,
             )
 
@@ -155,9 +158,9 @@
             raise ConflictError(proposal, self.replica.revision, lines)
 
     def _operators_entries_since(self, revision: int) -> dict[str, Any] | None:
-        """Returns what operators changed since, or None if not known.
+        """Returns entries that operators changed, or None if unknown.
 
-        What the nodes enter by themselves is no conflict.
+        Entries that nodes maintain cause no conflict.
         """
         if revision == self.replica.revision:
             return {}
@@ -197,8 +200,8 @@
         except calls.PlatformError as e:
             raise errors.ServiceError(
                 errors.ResultCode.CONFIGURATION_UNDECIDED,
-                f"revision {change.revision}: {e.reason}; look at the newest"
-                " revision before trying again",
+                f"unknown whether revision {change.revision} was written"
+                f" ({e.reason}); check the newest revision before retrying",
                 errors.Run.UNKNOWN,
                 RETRY_AFTER_S,
             ) from e
@@ -224,23 +227,24 @@
                 reason=e.reason,
             )
 
-    def _accepted(
+    def _make_result(
         self, reached: list[str], without_majority: bool = False
     ) -> AcceptedChange:
-        """Returns the answer to a change that members have confirmed.
+        """Returns the result of a change that members have confirmed.
 
         Raises:
-            ServiceError: ``MAJORITY_LOST`` if they are too few. The change is
-                written and will come into force, but a part that is cut off
-                might go on without it for now.
+            ServiceError: ``MAJORITY_LOST`` if they are no majority. The
+                change is written and will come into force, but partitioned
+                nodes may continue without it for now.
         """
-        roster = self.replica.document.nodes
-        is_enough = without_majority or not roster
-        if not is_enough and not self.admission.is_majority(set(reached)):
+        registered = self.replica.document.nodes
+        is_waived = without_majority or not registered
+        if not is_waived and not self.admission.is_majority(set(reached)):
             raise errors.ServiceError(
                 errors.ResultCode.MAJORITY_LOST,
-                f"revision {self.replica.revision} is written, but only"
-                f" {', '.join(sorted(reached))} confirmed it; ask again",
+                f"revision {self.replica.revision} is written, but confirmed"
+                f" only by {', '.join(sorted(reached))}, which is no majority;"
+                " retry",
                 errors.Run.RAN,
                 RETRY_AFTER_S,
             )
@@ -250,24 +254,25 @@
         )
 
     async def confirm(self) -> AcceptedChange:
-        """Brings the newest revision to every member and tells who has it.
+        """Pushes the newest revision and returns which members have it.
 
         Raises:
-            ServiceError: ``MAJORITY_LOST`` if too few have it.
+            ServiceError: ``MAJORITY_LOST`` if no majority has it.
         """
-        return self._accepted(await self.replicator.push())
+        return self._make_result(await self.replicator.push())
 
     async def withdraw_in_emergency(
         self, key_id: str, operator: str, reason: str
     ) -> AcceptedChange:
         """Withdraws a key without the store.
 
-        The answer names the nodes that have confirmed it; on the others the
-        key may work until they are reached or stop admitting. The withdrawal
-        enters the configuration when the store is back.
+        The result names the nodes that have confirmed the withdrawal. Other
+        nodes may accept the key until they are reached or stop admitting
+        requests. The withdrawal is written to the configuration when the
+        store is available again.
 
         Raises:
-            ServiceError: ``MAJORITY_LOST`` if too few have confirmed it.
+            ServiceError: ``MAJORITY_LOST`` if no majority has confirmed it.
         """
         self.replica.withdraw({key_id})
         events.log(
@@ -277,13 +282,14 @@
             operator=operator,
             reason=reason,
         )
-        return self._accepted(await self.replicator.push())
+        return self._make_result(await self.replicator.push())
 
     async def run_maintenance(self) -> None:
-        """Enters new nodes, removes lost ones, folds withdrawn keys in.
+        """Registers new nodes, removes lost nodes and withdrawn keys.
 
-        Only the watchers of a zone do, for all of its nodes at once, so that
-        a fleet that starts together does not race for each revision.
+        Only the watchers of a zone do this, for all nodes of the zone in one
+        change. Otherwise nodes that start together would compete for each
+        revision.
         """
         while True:
             if self.replicator.is_watcher():
@@ -311,7 +317,7 @@
             if name in self.members.entries
             and self.members.entries[name].status
             in (membership.DEAD, membership.LEFT)
-            and now - self.members.changed_at[name] > LOST_AFTER_S
+            and now - self.members.changed_at[name] > REMOVE_LOST_AFTER_S
         ]
 
     async def _propose_maintenance(self, entries: dict[str, Any]) -> None:
--- a/src/kingcupscale/configuration/keys.py
+++ b/src/kingcupscale/configuration/keys.py
@@ -1,4 +1,4 @@
-"""Callers' keys: made once, stored as salted digests, checked at the entry."""
+"""API keys: creation, salted digests and authentication."""
 
 import hashlib
 import hmac
@@ -17,13 +17,13 @@
 
 @attrs.frozen
 class NewKey:
-    """A key as it is handed out, once.
+    """A newly created key; its text is shown once and never stored.
 
     Attributes:
-        key_id: The part that may be shown.
-        text: The whole key.
-        salt: Hexadecimal salt of the digest.
-        digest: What is stored.
+        key_id: The public part of the key.
+        text: The complete key, including its secret.
+        salt: Salt of the digest, in hexadecimal.
+        digest: The digest that is stored.
     """
 
     key_id: str
@@ -34,14 +34,14 @@
 
 @attrs.frozen
 class Grant:
-    """What a key gives access to.
+    """The identity and access that a key provides.
 
     Attributes:
         key_id: The key's id; empty on an open route.
         organisation: Name of the organisation.
-        label: What backend servers and reports call the organisation.
-        service_class: Name of the class.
-        trainer: The trainer it belongs to, or empty.
+        label: The organisation's name towards backend servers and in reports.
+        service_class: Name of the service class.
+        trainer: The trainer that the key belongs to, or empty.
     """
 
     key_id: str
@@ -52,7 +52,7 @@
 
 
 def make_key(key_id: str) -> NewKey:
-    """Makes a key with a random secret."""
+    """Creates a key with a random secret."""
     secret = secrets.token_urlsafe(SECRET_BYTES)
     salt = secrets.token_hex(SALT_BYTES)
     text = f"{PREFIX}.{key_id}.{secret}"
@@ -60,38 +60,39 @@
 
 
 def digest(salt: str, text: str) -> str:
-    """Returns the stored form of a key."""
+    """Returns the salted digest of a key's text."""
     return hashlib.blake2b(
         text.encode(), salt=bytes.fromhex(salt), digest_size=32
     ).hexdigest()
 
 
 def matches(salt: str, expected: str, text: str) -> bool:
-    """Tells whether a key's text is the one whose digest is stored."""
+    """Returns whether a key's text matches a stored digest."""
     return hmac.compare_digest(digest(salt, text), expected)
 
 
 def read_bearer(headers: dict[str, str]) -> str:
-    """Returns the key that came with a request, or an empty string."""
+    """Returns the bearer token of a request, or an empty string."""
     scheme, _, text = headers.get("authorization", "").partition(" ")
     return text.strip() if scheme.lower() == "bearer" else ""
 
 
 class KeyRing:
-    """Tells which organisation a key belongs to, as of the replica.
+    """Authenticates keys against the node's replica.
 
     Args:
-        replica: The node's configuration.
+        replica: The node's replica of the configuration.
     """
 
     def __init__(self, replica: replicas.Replica) -> None:
         self.replica = replica
 
     def authenticate(self, text: str) -> Grant:
-        """Returns what a key gives access to.
+        """Returns the grant of a key.
 
         Raises:
-            ServiceError: ``KEY_MISSING`` or ``KEY_REFUSED``.
+            ServiceError: ``KEY_MISSING`` for an empty text, ``KEY_REFUSED``
+                for an unknown, withdrawn or wrong key.
         """
         if not text:
             raise errors.ServiceError(errors.ResultCode.KEY_MISSING)
@@ -109,11 +110,11 @@
         )
 
     def find(self, key_id: str) -> document.Key | None:
-        """Returns a key that is in force."""
+        """Returns a configured key, or None if it is unknown or withdrawn."""
         if key_id in self.replica.withdrawn:
             return None
         return self.replica.document.keys.get(key_id)
 
     def is_valid(self, grant: Grant) -> bool:
-        """Tells whether what a key gave is still in force."""
+        """Returns whether a grant still holds; a grant without a key does."""
         return not grant.key_id or self.find(grant.key_id) is not None
--- a/src/kingcupscale/configuration/log.py
+++ b/src/kingcupscale/configuration/log.py
@@ -1,4 +1,4 @@
-"""The change log in the key-value service, where revisions are decided."""
+"""The log of configuration changes in the key-value service."""
 
 import attrs
 
@@ -9,17 +9,17 @@
 
 SNAPSHOT_KEY = "configuration/snapshot"
 CHANGES_PREFIX = "configuration/changes/"
-SNAPSHOT_EVERY = 50
+SNAPSHOT_INTERVAL = 50
 
 
 @attrs.frozen
-class Reading:
-    """What a reading of the log brought.
+class ReadResult:
+    """The result of reading the log.
 
     Attributes:
-        batch: What the reader lacks.
+        batch: The changes that the reader lacks.
         revision: The newest revision in the store.
-        version: The store's version at the reading.
+        version: The store's version when the log was read.
     """
 
     batch: changes.Batch
@@ -28,15 +28,15 @@
 
 
 def change_key(revision: int) -> str:
-    """Returns the key of a change, in the order of revisions."""
+    """Returns the key of a change; keys sort by revision."""
     return f"{CHANGES_PREFIX}{revision:010d}"
 
 
 class ChangeLog:
     """Reads and appends changes.
 
-    A change is accepted at the moment its key is created: of two writers of
-    the same revision the store lets one through.
+    A change is accepted when its key is created. If two writers append the
+    same revision, the store accepts only one of them.
 
     Args:
         store: The key-value service.
@@ -45,29 +45,34 @@
     def __init__(self, store: keyvalue.KeyValueStore) -> None:
         self.store = store
 
-    async def read(self, since: int) -> Reading:
-        """Returns what came after a revision.
+    async def read(self, since: int) -> ReadResult:
+        """Returns the changes after a revision.
 
         Raises:
             PlatformError: If the store cannot be reached.
         """
         answer = await self.store.scan(CHANGES_PREFIX, change_key(since))
-        return await self._make_reading(answer, since)
+        return await self._make_result(answer, since)
 
-    async def watch(self, since: int, after: int, timeout_s: float) -> Reading:
-        """Like ``read``, but waits for something new for a while.
+    async def watch(
+        self, since: int, after: int, timeout_s: float
+    ) -> ReadResult:
+        """Like ``read``, but waits for a change up to a timeout.
 
         Args:
             since: The revision that the reader has.
-            after: The store's version at the last reading.
-            timeout_s: Seconds to wait.
+            after: The store's version at the last read.
+            timeout_s: Longest time to wait, in seconds.
+
+        Raises:
+            PlatformError: If the store cannot be reached.
         """
         answer = await self.store.watch(CHANGES_PREFIX, after, timeout_s)
-        return await self._make_reading(answer, since)
+        return await self._make_result(answer, since)
 
-    async def _make_reading(
+    async def _make_result(
         self, answer: keyvalue.GetAnswer, since: int
-    ) -> Reading:
+    ) -> ReadResult:
         found = [codec.decode(changes.Change, e.value) for e in answer.entries]
         found = [change for change in found if change.revision > since]
         snapshot = None
@@ -76,7 +81,7 @@
         last = found[-1].revision if found else since
         revision = max(last, snapshot.revision if snapshot else 0)
         batch = changes.Batch(snapshot, found)
-        return Reading(batch, revision, answer.version)
+        return ReadResult(batch, revision, answer.version)
 
     async def _read_snapshot(self, since: int) -> changes.Snapshot | None:
         entry = await self.store.get(SNAPSHOT_KEY)
@@ -86,13 +91,13 @@
         return snapshot if snapshot.revision > since else None
 
     async def append(self, change: changes.Change) -> bool:
-        """Tries to accept a change as the next revision.
+        """Tries to write a change as the next revision.
 
         Returns:
-            Whether it was accepted; False if another took the revision.
+            Whether it was written; False if the revision already exists.
 
         Raises:
-            PlatformError: If its fate cannot be learned now.
+            PlatformError: If the outcome of the write is unknown.
         """
         text = codec.encode(change).decode()
         key = change_key(change.revision)
@@ -102,12 +107,12 @@
         return answer.written
 
     async def compact(self, revision: int, entries: document.Entries) -> None:
-        """Writes a snapshot now and then and drops the changes before it.
+        """Writes a snapshot at intervals and deletes old changes.
 
-        The changes of the last ``SNAPSHOT_EVERY`` revisions stay, so that a
-        node that is a little behind needs no snapshot.
+        Changes of the last ``SNAPSHOT_INTERVAL`` revisions stay, so that a
+        node that is only slightly behind needs no snapshot.
         """
-        if revision % SNAPSHOT_EVERY:
+        if revision % SNAPSHOT_INTERVAL:
             return
         entry = await self.store.get(SNAPSHOT_KEY)
         version = entry.version if entry else keyvalue.ABSENT
@@ -115,9 +120,9 @@
         text = codec.encode(snapshot).decode()
         answer = await self.store.put(SNAPSHOT_KEY, text, version)
         if answer.written:
-            await self._drop(revision - SNAPSHOT_EVERY)
+            await self._delete_changes(revision - SNAPSHOT_INTERVAL)
 
-    async def _drop(self, last: int) -> None:
+    async def _delete_changes(self, last: int) -> None:
         answer = await self.store.scan(CHANGES_PREFIX)
         for entry in answer.entries:
             if entry.key <= change_key(last):
--- a/src/kingcupscale/configuration/replica.py
+++ b/src/kingcupscale/configuration/replica.py
@@ -1,4 +1,4 @@
-"""A node's copy of the configuration, which only moves forward."""
+"""A node's replica of the configuration; its revision never decreases."""
 
 import collections
 from collections.abc import Callable
@@ -12,16 +12,19 @@
 
 
 class Replica:
-    """The configuration in force on one node.
+    """Replica of the configuration that is in force on one node.
 
     Args:
-        node: The node's name, for the log.
+        node: The node's name, for log lines.
 
     Attributes:
-        revision: Of the configuration in force; 0 before the first.
-        document: The configuration in force.
-        withdrawn: Key ids withdrawn while the store was down; only grows.
-        leaving: Addresses of backend servers that are about to go.
+        revision: Revision of the configuration in force; 0 before the first.
+        entries: The configuration in force, by ``table/name``.
+        document: The configuration in force, as typed tables.
+        recent: The latest changes, the oldest first.
+        withdrawn: Ids of keys withdrawn during a store outage; ids are never
+            removed.
+        leaving: Addresses of backend servers that are about to stop.
         listeners: Called after every change.
     """
 
@@ -38,13 +41,13 @@
         self.listeners: list[Callable[[], None]] = []
 
     def apply_batch(self, batch: changes.Batch) -> bool:
-        """Moves forward by what a batch brings; never back.
+        """Applies the parts of a batch that are newer than the replica.
 
         Args:
-            batch: From the store or a peer; may hold known changes.
+            batch: Changes from the store or a peer; may repeat known ones.
 
         Returns:
-            Whether the revision grew.
+            Whether the revision increased.
         """
         before = self.revision
         if batch.snapshot and batch.snapshot.revision > self.revision:
@@ -79,7 +82,7 @@
             listener()
 
     def withdraw(self, key_ids: set[str]) -> bool:
-        """Adds withdrawn keys; tells whether any was new."""
+        """Adds ids of withdrawn keys; returns whether any was new."""
         if key_ids <= self.withdrawn:
             return False
         self.withdrawn |= key_ids
@@ -87,7 +90,7 @@
         return True
 
     def mark_leaving(self, addresses: set[str]) -> bool:
-        """Adds backend servers that are about to go; tells if any was new."""
+        """Adds addresses of leaving servers; returns whether any was new."""
         if addresses <= self.leaving:
             return False
         self.leaving |= addresses
@@ -95,7 +98,10 @@
         return True
 
     def batch_since(self, revision: int) -> changes.Batch:
-        """Returns what a peer at a revision lacks."""
+        """Returns what a peer at a revision lacks.
+
+        It is a snapshot if the recent changes do not reach back that far.
+        """
         found = [change for change in self.recent if change.revision > revision]
         has_all = bool(found) and found[0].revision == revision + 1
         if has_all or revision >= self.revision:
--- a/src/kingcupscale/configuration/replication.py
+++ b/src/kingcupscale/configuration/replication.py
@@ -1,4 +1,4 @@
-"""Bringing changes, withdrawn keys and leaving servers to every node."""
+"""Replicates changes, withdrawn keys and leaving servers to all nodes."""
 
 import random
 
@@ -19,31 +19,34 @@
 from kingcupscale.providers import vmlist
 
 WATCHERS_PER_ZONE = 2
-WATCH_S = 1.0
-RETRY_S = 1.0
-PUSH_TIMEOUT_S = 1.5
-PUSHES_AT_A_TIME = 16
-# Share of the bound on confirmation after which a node asks the store itself.
-ASK_STORE_AT = 0.75
-LEAVING_PER_MESSAGE = 32
+WATCH_INTERVAL_S = 1.0
+RETRY_INTERVAL_S = 1.0
+PEER_TIMEOUT_S = 1.5
+MAX_CONCURRENT_PUSHES = 16
+# Fraction of the longest time without a confirmation after which a node reads
+# the store itself.
+STORE_READ_AGE_FRACTION = 0.75
+MAX_LEAVING_PER_MESSAGE = 32
 
 
 class ConfigurationReplicator:
-    """Keeps one node's replica current and brings its news to others.
+    """Keeps one node's replica current and sends its changes to other nodes.
 
-    A few watchers in each availability zone read the store; news goes
-    straight to every member, and gossip repairs what that missed.
+    A few watchers in each availability zone read the store. The node that
+    accepts a change pushes it to every member. A watcher that finds new
+    leaving servers pushes them to the members of its zone. Gossip delivers
+    what a push missed.
 
     Args:
-        replica: The node's configuration.
-        admission: Told of confirmations.
-        members: The members it knows.
-        gossip_loop: Carries the news; joins the members.
-        service: Where the handlers are offered.
+        replica: The node's replica of the configuration.
+        admission: Receives the confirmations.
+        members: The membership table.
+        gossip_loop: Exchanges revisions with peers and joins the cluster.
+        service: Where the RPC handlers are registered.
         log: The change log in the store.
         directory: The platform's VM list.
-        clock: Tells the time.
-        rng: Spreads the retries.
+        clock: Source of monotonic time.
+        rng: Adds jitter to the retries.
     """
 
     def __init__(
@@ -67,90 +70,96 @@
         self.clock = clock
         self.rng = rng
         self.store_version = 0
-        gossip_loop.passengers.append(self)
-        service.register(transport.PULL_CHANGES, self._answer_pull)
-        service.register(transport.PUSH_CHANGES, self._answer_push)
+        gossip_loop.payload_handlers.append(self)
+        service.register(transport.PULL_CHANGES, self._handle_pull)
+        service.register(transport.PUSH_CHANGES, self._handle_push)
 
-    def load(self, message: peer_pb2.Gossip) -> None:
-        """Writes the revision, its confirmation and the short lists."""
+    def write_payload(self, message: peer_pb2.Gossip) -> None:
+        """Adds this node's revision, withdrawn keys and leaving servers."""
         message.revision = self.replica.revision
         age_s = self.admission.confirmed_age_s()
         if age_s is not None:
             message.confirmed = True
             message.confirmed_age_ms = round(age_s * 1000) + 1
         message.withdrawn_keys.extend(sorted(self.pending_withdrawals()))
-        leaving = sorted(self.replica.leaving)[-LEAVING_PER_MESSAGE:]
+        leaving = sorted(self.replica.leaving)[-MAX_LEAVING_PER_MESSAGE:]
         message.leaving_servers.extend(leaving)
 
     def pending_withdrawals(self) -> set[str]:
-        """Returns withdrawn keys that the configuration still has."""
+        """Returns withdrawn keys that the configuration still contains."""
         return self.replica.withdrawn & self.replica.document.keys.keys()
 
-    async def unload(
-        self, address: str, message: peer_pb2.Gossip, asked_at: float | None
+    async def read_payload(
+        self, address: str, message: peer_pb2.Gossip, requested_at: float | None
     ) -> None:
-        """Takes in a peer's news, and its confirmation if it is a reply.
+        """Applies a peer's state, and its confirmation if this is a reply.
 
-        A request may have been under way for long, so only a reply bounds the
-        age of what it says.
+        A request may have been in transit for any time. Only a reply is known
+        to be no older than the request that it answers.
         """
         self.replica.withdraw(set(message.withdrawn_keys))
         self.replica.mark_leaving(set(message.leaving_servers))
         if message.revision > self.replica.revision and address:
             await self._pull(address)
-        is_level = self.replica.revision >= message.revision
-        if asked_at is None or not is_level:
+        is_up_to_date = self.replica.revision >= message.revision
+        if requested_at is None or not is_up_to_date:
             return
-        self.admission.record_contact(asked_at)
+        self.admission.record_contact(requested_at)
         if message.confirmed:
-            self.admission.confirm(asked_at - message.confirmed_age_ms / 1000)
+            self.admission.confirm(
+                requested_at - message.confirmed_age_ms / 1000
+            )
 
     async def _pull(self, address: str) -> None:
         request = peer_pb2.PullRequest(since=self.replica.revision)
         try:
             reply = await self.gossip.peers.call(
-                address, transport.PULL_CHANGES, request, PUSH_TIMEOUT_S
+                address, transport.PULL_CHANGES, request, PEER_TIMEOUT_S
             )
         except transport.PeerError:
             return
-        self._take(reply)
+        self._apply_message(reply)
 
-    def _take(self, message: peer_pb2.Changes) -> bool:
+    def _apply_message(self, message: peer_pb2.Changes) -> bool:
         batch = codec.decode(changes.Batch, message.batch)
-        has_keys = self.replica.withdraw(set(message.withdrawn_keys))
-        has_leaving = self.replica.mark_leaving(set(message.leaving_servers))
-        return self.replica.apply_batch(batch) or has_keys or has_leaving
+        has_new_keys = self.replica.withdraw(set(message.withdrawn_keys))
+        has_new_leaving = self.replica.mark_leaving(
+            set(message.leaving_servers)
+        )
+        return (
+            self.replica.apply_batch(batch) or has_new_keys or has_new_leaving
+        )
 
-    def _compose(self, since: int) -> peer_pb2.Changes:
+    def _make_message(self, since: int) -> peer_pb2.Changes:
         return peer_pb2.Changes(
             batch=codec.encode(self.replica.batch_since(since)),
             withdrawn_keys=sorted(self.pending_withdrawals()),
             leaving_servers=sorted(self.replica.leaving),
         )
 
-    async def _answer_pull(
+    async def _handle_pull(
         self, request: peer_pb2.PullRequest
     ) -> peer_pb2.Changes:
-        return self._compose(request.since)
+        return self._make_message(request.since)
 
-    async def _answer_push(
+    async def _handle_push(
         self, request: peer_pb2.Changes
     ) -> peer_pb2.ChangesAck:
-        self._take(request)
+        self._apply_message(request)
         return peer_pb2.ChangesAck(revision=self.replica.revision)
 
     async def push(self, zone: str | None = None) -> list[str]:
-        """Brings the newest to every member at once.
+        """Pushes the newest revision to all members concurrently.
 
         Args:
-            zone: Only to members of this availability zone.
+            zone: Push only to members of this availability zone.
 
         Returns:
-            Names of the members that have it, this node first.
+            Names of the members that have the revision, this node first.
         """
         reached = [self.members.me.name]
-        message = self._compose(self.replica.revision - 1)
-        limiter = trio.CapacityLimiter(PUSHES_AT_A_TIME)
+        message = self._make_message(self.replica.revision - 1)
+        limiter = trio.CapacityLimiter(MAX_CONCURRENT_PUSHES)
         async with trio.open_nursery() as nursery:
             for member in self.members.others():
                 if zone not in (None, member.zone):
@@ -167,7 +176,7 @@
         limiter: trio.CapacityLimiter,
         reached: list[str],
     ) -> None:
-        wanted = self.replica.revision
+        target = self.replica.revision
         async with limiter:
             for _ in range(2):
                 try:
@@ -175,72 +184,76 @@
                         member.address,
                         transport.PUSH_CHANGES,
                         message,
-                        PUSH_TIMEOUT_S,
+                        PEER_TIMEOUT_S,
                     )
                 except transport.PeerError:
                     continue
-                if ack.revision >= wanted:
+                if ack.revision >= target:
                     reached.append(member.name)
                     return
-                message = self._compose(ack.revision)
+                message = self._make_message(ack.revision)
 
     def is_watcher(self) -> bool:
-        """Tells whether this node is one of its zone's watchers."""
+        """Returns whether this node is one of its zone's watchers."""
         zone = self.members.me.zone
-        chosen = self.members.ranked(f"watch/{zone}", zone)
-        return self.members.me in chosen[:WATCHERS_PER_ZONE]
+        ranked = self.members.ranked(f"watch/{zone}", zone)
+        return self.members.me in ranked[:WATCHERS_PER_ZONE]
 
     async def run(self) -> None:
-        """Reads the store while chosen, or when peers do not confirm."""
+        """Reads the store while a watcher, or if peers send no confirmation."""
         while True:
-            if self.is_watcher() or self._lacks_confirmation():
+            if self.is_watcher() or self._needs_confirmation():
                 await self._watch_once()
             else:
-                await self.clock.sleep(WATCH_S)
+                await self.clock.sleep(WATCH_INTERVAL_S)
 
-    def _lacks_confirmation(self) -> bool:
+    def _needs_confirmation(self) -> bool:
         age_s = self.admission.confirmed_age_s()
-        return age_s is None or age_s > ASK_STORE_AT * self.admission.bound_s
+        return (
+            age_s is None
+            or age_s > STORE_READ_AGE_FRACTION * self.admission.max_age_s
+        )
 
     async def _watch_once(self) -> None:
         try:
-            await self.read_store(WATCH_S)
+            await self.read_store(WATCH_INTERVAL_S)
         except calls.PlatformError as e:
             events.log(
                 events.Event.STORE_FAILED,
                 node=self.members.me.name,
                 reason=e.reason,
             )
-            await self.clock.sleep(RETRY_S * (1 + self.rng.random()))
+            await self.clock.sleep(RETRY_INTERVAL_S * (1 + self.rng.random()))
 
     async def read_store(self, wait_s: float = 0) -> None:
-        """Takes in what the store has.
+        """Applies the changes in the store to the replica.
 
         Args:
-            wait_s: Seconds to wait for something new.
+            wait_s: Longest time to wait for a change, in seconds; 0 reads at
+                once.
 
         Raises:
             PlatformError: If the store cannot be reached.
         """
-        asked_at = self.clock.monotonic()
+        requested_at = self.clock.monotonic()
         revision = self.replica.revision
         if wait_s and self.store_version:
-            reading = await self.log.watch(revision, self.store_version, wait_s)
+            result = await self.log.watch(revision, self.store_version, wait_s)
         else:
-            reading = await self.log.read(revision)
-        self.replica.apply_batch(reading.batch)
-        if self.replica.revision < reading.revision:
+            result = await self.log.read(revision)
+        self.replica.apply_batch(result.batch)
+        if self.replica.revision < result.revision:
             self.store_version = 0
             return
-        self.store_version = reading.version
-        self.admission.confirm(asked_at)
+        self.store_version = result.version
+        self.admission.confirm(requested_at)
 
     async def run_vm_list_polling(self) -> None:
-        """Reads the VM list while chosen, and spreads who is leaving."""
+        """Polls the VM list while a watcher, and pushes leaving servers."""
         while True:
             if self.is_watcher():
                 await self._read_vm_list()
-            await self.clock.sleep(WATCH_S)
+            await self.clock.sleep(WATCH_INTERVAL_S)
 
     async def _read_vm_list(self) -> None:
         try:
@@ -256,10 +269,11 @@
             await self.push(self.members.me.zone)
 
     async def catch_up(self) -> None:
-        """Waits until the node is as current as anything in reach.
+        """Waits until the replica is current enough to become ready.
 
-        The store is enough; with the store out of reach, a majority of the
-        entered nodes is.
+        Reading the store is sufficient. While the store cannot be reached,
+        gossip with a majority of the registered nodes is sufficient too, if
+        the node has any revision afterwards.
         """
         while not self.admission.ready:
             await self.gossip.join()
@@ -268,7 +282,7 @@
             except calls.PlatformError:
                 await self._catch_up_from_peers()
             if not self.admission.ready:
-                await self.clock.sleep(RETRY_S)
+                await self.clock.sleep(RETRY_INTERVAL_S)
 
     async def _catch_up_from_peers(self) -> None:
         reached = set()
--- a/src/kingcupscale/peering/gossip.py
+++ b/src/kingcupscale/peering/gossip.py
@@ -34,22 +34,22 @@
     suspicion_s: float = 4.0
 
 
-class Passenger(Protocol):
+class PayloadHandler(Protocol):
     """News that travels on gossip."""
 
-    def load(self, message: peer_pb2.Gossip) -> None:
+    def write_payload(self, message: peer_pb2.Gossip) -> None:
         """Writes what this node knows into a message."""
         ...
 
-    async def unload(
-        self, address: str, message: peer_pb2.Gossip, asked_at: float | None
+    async def read_payload(
+        self, address: str, message: peer_pb2.Gossip, requested_at: float | None
     ) -> None:
         """Reads what a peer knows.
 
         Args:
             address: Of the peer.
             message: What it sent.
-            asked_at: Monotonic time at which the request that this message
+            requested_at: Monotonic time at which the request that this message
                 replies to was sent; None if it is a request itself.
         """
         ...
@@ -84,7 +84,7 @@
         self.clock = clock
         self.settings = settings
         self.rng = rng
-        self.passengers: list[Passenger] = []
+        self.payload_handlers: list[PayloadHandler] = []
         self.ticks = 0
         self.round: list[str] = []
         service.register(transport.GOSSIP, self._answer)
@@ -154,7 +154,7 @@
         Returns:
             Whether it replied.
         """
-        asked_at = self.clock.monotonic()
+        requested_at = self.clock.monotonic()
         request = self._compose(full)
         try:
             reply = await self.peers.call(
@@ -162,7 +162,7 @@
             )
         except transport.PeerError:
             return False
-        await self._absorb(address, reply, asked_at)
+        await self._absorb(address, reply, requested_at)
         return True
 
     def _compose(self, full: bool) -> peer_pb2.Gossip:
@@ -177,17 +177,17 @@
         )
         if not any(entry.name == self.members.me.name for entry in entries):
             message.members.append(self.members.me.to_proto())
-        for passenger in self.passengers:
-            passenger.load(message)
+        for handler in self.payload_handlers:
+            handler.write_payload(message)
         return message
 
     async def _absorb(
-        self, address: str, message: peer_pb2.Gossip, asked_at: float | None
+        self, address: str, message: peer_pb2.Gossip, requested_at: float | None
     ) -> None:
         for entry in message.members:
             self.members.merge(membership.from_proto(entry))
-        for passenger in self.passengers:
-            await passenger.unload(address, message, asked_at)
+        for handler in self.payload_handlers:
+            await handler.read_payload(address, message, requested_at)
 
     async def _answer(self, request: peer_pb2.Gossip) -> peer_pb2.Gossip:
         known = self.members.entries.get(request.sender)
