--- a/src/kingcupscale/configuration/log.py
+++ b/src/kingcupscale/configuration/log.py
@@ -71,7 +71,7 @@
         return await self._make_result(answer, since)
 
     async def _make_result(
-        self, answer: keyvalue.GetAnswer, since: int
+        self, answer: keyvalue.GetResponse, since: int
     ) -> ReadResult:
         found = [codec.decode(changes.Change, e.value) for e in answer.entries]
         found = [change for change in found if change.revision > since]
--- a/src/kingcupscale/fakes/service.py
+++ b/src/kingcupscale/fakes/service.py
@@ -82,11 +82,11 @@
     ) -> message.Response:
         if request.path == scoring.SCORE_PATH:
             score = int(digest[:4], 16) / 0xFFFF
-            return message.json_response(scoring.ScoreAnswer(score))
+            return message.json_response(scoring.ScoreResponse(score))
         answer = ServiceAnswer(organisation, request.path, digest)
         return message.json_response(answer)
 
 
 def body_digest(body: bytes) -> str:
     """Returns the digest that an answer to this body carries."""
-    return hashing.long(body)
+    return hashing.hex128(body)
--- a/src/kingcupscale/rollouts/scoring.py
+++ b/src/kingcupscale/rollouts/scoring.py
@@ -1,4 +1,4 @@
-"""Scores of samples, from the trainer's scoring service."""
+"""Scores samples with the trainer's scoring service."""
 
 from typing import Protocol
 
@@ -17,15 +17,15 @@
 
 @attrs.frozen
 class ScoreRequest:
-    """What a scoring service gets."""
+    """Request to a scoring service."""
 
     prompt: str
     text: str
 
 
 @attrs.frozen
-class ScoreAnswer:
-    """What it answers."""
+class ScoreResponse:
+    """Response of a scoring service."""
 
     score: float
 
@@ -39,12 +39,12 @@
 
 
 class ServiceScorer:
-    """Scores by a plain service, whose calls may be repeated.
+    """Scores samples with a plain service; its calls may be retried.
 
     Args:
-        plain_service_client: Carries the calls.
+        plain_service_client: Calls the scoring service.
         service: Name of the scoring service.
-        grant: On whose behalf.
+        grant: The access rights to call it with.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         """Returns a sample's score.
 
         Raises:
-            ServiceError: If the service gives none.
+            ServiceError: If the service returns no valid score.
         """
         request = message.json_request(
             SCORE_PATH, ScoreRequest(prompt, " ".join(sample.tokens))
@@ -69,10 +69,10 @@
         call = plainservices.Call(self.service, SCORE_PATH, request, self.grant)
         response = await self.plain_service_client.call(call)
         try:
-            return codec.decode(ScoreAnswer, response.body).score
+            return codec.decode(ScoreResponse, response.body).score
         except (codec.DecodeError, orjson.JSONDecodeError) as e:
             raise errors.ServiceError(
                 errors.ResultCode.ANSWER_REJECTED,
-                "the scoring service gave no score",
+                "the response of the scoring service contains no score",
                 errors.Run.RAN,
             ) from e
--- a/src/kingcupscale/serving/routing.py
+++ b/src/kingcupscale/serving/routing.py
@@ -17,6 +17,7 @@
 LOAD_DECAY_S = 2.0
 MIN_EJECTION_S = 1.0
 MAX_EJECTION_S = 30.0
+# Fraction of a regular server's slots for requests that accept cheap servers.
 CHEAP_SLOT_FRACTION = 0.75
 MAX_AFFINITY_CANDIDATES = 2
 BOUNDED_LOAD_FACTOR = 1.25
@@ -57,7 +58,7 @@
         return self.in_flight + self.other_requests * weight
 
     def slots(self) -> int:
-        """Returns the number of usable slots; one after a failure."""
+        """Returns the number of usable slots; one until a failure is reset."""
         return 1 if self.failures else self.server.slots
 
     def utilisation(self, now: float) -> float:
