--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -110,8 +110,8 @@
     Break(
         "no batch is hidden by an old configuration",
         "gateway/callerservice.py",
-        "if stale and is_known and e.code is errors.ResultCode.BATCH_UNKNOWN:",
-        "if False:",
+        "                staleness_error\n                and is_known\n",
+        "                False\n                and is_known\n",
         SITE + "test_configurations.StaleConfigurationTest",
     ),
     Break(
@@ -176,8 +176,8 @@
     Break(
         "a call that may run once runs once",
         "gateway/forwarder.py",
-        "state.route.allows_retry()\n            and state.sent",
-        "state.sent",
+        "state.route.allows_retry()\n            and state.attempts",
+        "state.attempts",
         SITE + "test_calls.CallTest.test_response_without_signature_or_id",
     ),
     Break(
@@ -221,7 +221,7 @@
     Break(
         "what is given up is not sent later",
         "web/httpclient.py",
-        "    (socket.SOL_SOCKET, socket.SO_LINGER, _RESET),\n",
+        "    (socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE),\n",
         "",
         "tests.test_web_server.HttpClientTest",
     ),
@@ -279,7 +279,7 @@
     Break(
         'a refusal that says "not run" is true',
         "gateway/forwarder.py",
-        "        if state.sent:\n            code = (",
+        "        if state.attempts:\n            code = (",
         "        if False:\n            code = (",
         SITE + "test_calls",
     ),
--- a/src/kingcupscale/fleet/peers.py
+++ b/src/kingcupscale/fleet/peers.py
@@ -46,6 +46,10 @@
         mirror: The mirror that holds the nodes' entries; set once it exists.
         unresponsive_since: Monotonic time of the first call without a
             response, by node.
+        not_before: Monotonic time before which a node is not asked for
+            changes, by node.
+        failed_until: Monotonic time before which a node is sent no copies, by
+            node.
     """
 
     def __init__(
@@ -146,7 +150,7 @@
                 return changes
         return None
 
-    async def fetch_copy(
+    async def fetch_snapshot(
         self, batch_id: str, nodes: list[str]
     ) -> records.RecordSnapshot | None:
         """Returns a batch's snapshot from the first given node that has it."""
@@ -155,7 +159,9 @@
             if name not in addresses or self.is_unresponsive(name):
                 continue
             try:
-                copy = await self.client.fetch_batch(addresses[name], batch_id)
+                snapshot = await self.client.fetch_batch(
+                    addresses[name], batch_id
+                )
             except calls.PeerError as e:
                 events.log(
                     events.Event.COPY_FAILED,
@@ -164,8 +170,8 @@
                     reason=e.reason,
                 )
                 continue
-            if copy is not None:
-                return copy
+            if snapshot is not None:
+                return snapshot
         return None
 
     async def commit(
@@ -225,7 +231,8 @@
     def first_reachable(self, ranking: list[str]) -> tuple[str, str] | None:
         """Returns the first node of a ranking that is responsive.
 
-        Returns its name and address; None if there is none.
+        Nodes that a copy could not be sent to recently are skipped, too.
+        Returns the node's name and address; None if there is none.
         """
         addresses = self.addresses()
         now = self.clock.monotonic()
--- a/src/kingcupscale/fleet/registry.py
+++ b/src/kingcupscale/fleet/registry.py
@@ -1,4 +1,8 @@
-"""The registry of backend servers that one node knows."""
+"""Tracks the backend servers that are registered in the store.
+
+For each server, a node keeps the server's entry and what it has observed
+itself: load, latency, failures and whether the server is about to shut down.
+"""
 
 from collections.abc import Callable
 import enum
@@ -32,15 +36,15 @@
 
 @attrs.frozen
 class ServerEntry:
-    """A backend server's own entry in the store.
+    """The entry that a backend server writes to the store about itself.
 
     Attributes:
-        id: Its identity.
+        id: Its id.
         service: The service it belongs to.
         address: ``host:port``.
         zone: Its availability zone.
-        state: Whether it takes work.
-        slots: Requests it runs at once.
+        state: Whether it accepts new requests.
+        slots: Requests that it runs concurrently.
         start_ms: Start time in milliseconds since 1970. A different value
             under the same id means that the server has restarted.
         versions: Weight version by model.
@@ -67,24 +71,25 @@
     Attributes:
         entry: Its own entry in the store.
         in_flight: Requests of this node that run there.
-        other_requests: Requests of other nodes there, by the last response
-            that reported a load.
+        other_requests: Requests of other nodes that run there, by the last
+            response that reported a load.
         load_reported_at: Monotonic time of that response.
-        failures: Failures in a row.
-        ejected_until: Monotonic time before which it gets nothing.
-        versions: Weight version by model, from entries, orders and answers.
-        sequence: Orders that it has accepted since its start; None if not
-            known.
+        failures: Number of consecutive failures.
+        ejected_until: Monotonic time before which it gets no requests.
+        versions: Weight version by model, from entries, orders and responses.
+        sequence: Number of orders that it has accepted since its start; None
+            if not known.
         relative_latency: Mean latency relative to the other servers of its
             service; 1 is average.
         no_samples_until: Monotonic time, by model, before which it accepts no
             samples of the model because it is loading weights for it.
-        loading_until: Monotonic time until which runs may have to wait,
+        loading_until: Monotonic time until which requests may have to wait,
             because it is loading weights.
         is_leaving: Whether a response said that it is about to shut down. A
             later entry does not change that.
         is_removed: Whether its entry has been removed.
-        removed_at: Monotonic time at which the entry went missing.
+        removed_at: Monotonic time at which the entry went missing; None while
+            it exists.
     """
 
     entry: ServerEntry
@@ -104,7 +109,7 @@
 
     @property
     def id(self) -> str:
-        """Its identity."""
+        """Its id."""
         return self.entry.id
 
     def is_usable(self, now: float) -> bool:
@@ -117,7 +122,7 @@
         )
 
     def load(self, now: float) -> float:
-        """Returns requests that it probably has, of all nodes."""
+        """Returns the estimated number of requests on it from all nodes."""
         age_s = now - self.load_reported_at
         return self.in_flight + self.other_requests * max(
             0.0, 1 - age_s / LOAD_DECAY_S
@@ -173,7 +178,7 @@
 
 
 class ServerRegistry:
-    """The backend servers that have an entry in the store.
+    """The backend servers that are registered in the store.
 
     An entry that disappears removes its server only if the store is reachable
     and has been for a while: entries also expire while the store is out of
--- a/src/kingcupscale/gateway/backoff.py
+++ b/src/kingcupscale/gateway/backoff.py
@@ -6,12 +6,12 @@
 
 import random
 
-# Least and most that a caller is asked to wait, in seconds. Servers answer in
-# tens of milliseconds, and a store that is out comes back within seconds.
-LEAST_S = 0.05
-MOST_S = 2.0
-# Largest jitter, as a share of the expected wait.
-SPREAD = 0.5
+# Bounds of the expected wait, before jitter is added. Servers respond within
+# tens of milliseconds, and a store outage usually ends within seconds.
+MIN_RETRY_AFTER_S = 0.05
+MAX_RETRY_AFTER_S = 2.0
+# Largest jitter, as a share of the bounded wait.
+MAX_JITTER = 0.5
 
 
 def retry_after_s(
@@ -22,9 +22,10 @@
     Args:
         expected_wait_s: Seconds until a slot is expected to be free.
         time_left_s: Seconds until the caller's deadline. Callers honour a
-            Retry-After of up to a third of them.
+            Retry-After of up to a third of this time, so the result is at
+            most a quarter of it, but at least ``MIN_RETRY_AFTER_S``.
         rng: Source of the jitter.
     """
-    wait_s = min(MOST_S, max(LEAST_S, expected_wait_s))
-    wait_s *= 1 + SPREAD * rng.random()
-    return round(min(wait_s, max(LEAST_S, time_left_s / 4)), 3)
+    wait_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, expected_wait_s))
+    wait_s *= 1 + MAX_JITTER * rng.random()
+    return round(min(wait_s, max(MIN_RETRY_AFTER_S, time_left_s / 4)), 3)
--- a/src/kingcupscale/gateway/callerservice.py
+++ b/src/kingcupscale/gateway/callerservice.py
@@ -1,4 +1,4 @@
-"""The service that callers use: single calls and batches."""
+"""Serves callers: checks requests, forwards single calls, manages batches."""
 
 from collections.abc import Callable
 
@@ -28,7 +28,7 @@
 
     Args:
         admission: Finds routes and authenticates organisations.
-        forward: Forwards single calls to backend servers.
+        call_forwarder: Forwards single calls to backend servers.
         batch_cache: The batches.
         clock: The clock.
         find_not_ready_error: Returns why the node admits no requests now, or
@@ -38,13 +38,13 @@
     def __init__(
         self,
         admission: admissions.Admission,
-        forward: forwarder.Forwarder,
+        call_forwarder: forwarder.Forwarder,
         batch_cache: caches.BatchCache,
         clock: clocks.Clock,
         find_not_ready_error: Callable[[], errors.ServiceError | None],
     ) -> None:
         self.admission = admission
-        self.forwarder = forward
+        self.forwarder = call_forwarder
         self.batch_cache = batch_cache
         self.clock = clock
         self.find_not_ready_error = find_not_ready_error
@@ -82,7 +82,7 @@
         return await self.forwarder.forward(inbound)
 
     async def submit_batch(
-        self, new: batches.Batch, inbound: inboundrequest.InboundRequest
+        self, batch: batches.Batch, inbound: inboundrequest.InboundRequest
     ) -> None:
         """Stores a new batch; submitting it again changes nothing.
 
@@ -90,20 +90,20 @@
             ServiceError: If the batch is invalid, belongs to another
                 organisation, or may not have been stored.
         """
-        problem = new.find_problem()
+        problem = batch.find_problem()
         if problem is not None:
             raise errors.ServiceError(errors.ResultCode.BODY_INVALID, problem)
-        known = self.batch_cache.records.get(new.id)
-        if known and known.batch.organisation != new.organisation:
+        known = self.batch_cache.records.get(batch.id)
+        if known and known.batch.organisation != batch.organisation:
             raise self.admission.make_refusal(errors.ResultCode.BATCH_UNKNOWN)
         timeout_s = min(STORE_TIMEOUT_S, inbound.timeout_s - RESPONSE_MARGIN_S)
-        is_new = await self.batch_cache.accept(new, timeout_s)
+        is_new = await self.batch_cache.accept(batch, timeout_s)
         events.log(
             events.Event.BATCH_ACCEPTED,
-            batch=new.id,
-            organisation=new.organisation,
-            step=new.step,
-            items=len(new.items),
+            batch=batch.id,
+            organisation=batch.organisation,
+            step=batch.step,
+            items=len(batch.items),
             is_new=is_new,
             took_s=round(self.clock.monotonic() - inbound.received_at, 3),
         )
@@ -112,21 +112,25 @@
         """Returns a batch that a key gives access to.
 
         Raises:
-            ServiceError: If there is none, or the configuration may be too
-                old to tell.
+            ServiceError: If the node is not ready, there is no such batch, or
+                the configuration may be too old to tell.
         """
         self.check_ready()
         organisation = self.admission.authenticate(None, key)
         name = organisation.name if organisation else ""
-        # Taken here, because it has to match the configuration by which the
-        # key was looked up; finding the batch may take a while.
-        stale = self.admission.find_staleness_error()
+        # Determined before the batch is looked up, which may take a while: it
+        # has to match the configuration by which the key was looked up.
+        staleness_error = self.admission.find_staleness_error()
         try:
             return await self.batch_cache.find(batch_id, name)
         except errors.ServiceError as e:
             is_known = batch_id in self.batch_cache.records
-            if stale and is_known and e.code is errors.ResultCode.BATCH_UNKNOWN:
-                raise stale from None
+            if (
+                staleness_error
+                and is_known
+                and e.code is errors.ResultCode.BATCH_UNKNOWN
+            ):
+                raise staleness_error from None
             raise
 
     async def read_results(
--- a/src/kingcupscale/gateway/callstate.py
+++ b/src/kingcupscale/gateway/callstate.py
@@ -1,4 +1,4 @@
-"""The state of one call across its attempts."""
+"""The state that a forwarder keeps of one call until it is completed."""
 
 import attrs
 
@@ -15,11 +15,12 @@
         service: The service it goes to.
         deadline: Monotonic time at which the call times out.
         wait_until: Monotonic time until which it waits for a free slot.
-        tried: Servers that have or may have executed it.
-        unavailable: Servers that rejected it or were unreachable since the
-            last poll.
-        sent: Number of attempts that may have been executed.
-        reason: Why the last attempt failed.
+        tried_servers: Servers that executed it or may have.
+        unavailable_servers: Servers that rejected it or were unreachable since
+            the last poll.
+        attempts: Number of attempts that a server executed or may have.
+        failure_reason: Why the last failed attempt failed; empty if none has
+            failed, or if the server cannot have executed that attempt.
     """
 
     route: catalogue.Route
@@ -27,7 +28,7 @@
     service: str
     deadline: float
     wait_until: float
-    tried: set[str] = attrs.field(factory=set)
-    unavailable: set[str] = attrs.field(factory=set)
-    sent: int = 0
-    reason: str = ""
+    tried_servers: set[str] = attrs.field(factory=set)
+    unavailable_servers: set[str] = attrs.field(factory=set)
+    attempts: int = 0
+    failure_reason: str = ""
--- a/src/kingcupscale/gateway/forwarder.py
+++ b/src/kingcupscale/gateway/forwarder.py
@@ -26,7 +26,8 @@
 CONNECT_TIMEOUT_S = 0.25
 # Timeout of an attempt, as a multiple of the expected latency. It applies to
 # calls that may be repeated; the call is then retried on another server. The
-# timeout doubles with each attempt.
+# timeout doubles with each attempt; the last attempt may take until the call's
+# deadline.
 ATTEMPT_TIMEOUT_FACTOR = 1.5
 # Lower bound of the expected latency in the timeout of an attempt.
 MIN_EXPECTED_LATENCY_S = 0.15
@@ -54,8 +55,9 @@
     """Forwards single calls to backend servers.
 
     It chooses a server, sends the call, and retries it on another server if
-    the route allows that. A route that allows no retries is sent again only
-    after responses that say that the server has not executed the call.
+    the route allows that. If the route allows no retries, the call is sent
+    again only if the server cannot have executed it: the server said so, or the
+    request was not sent.
 
     Args:
         admission: Finds the route and authenticates the organisation.
@@ -120,7 +122,7 @@
                 last_response = response
                 if response.status < 500 or not self._may_retry(state):
                     break
-            elif state.reason and not self._may_retry(state):
+            elif state.failure_reason and not self._may_retry(state):
                 break
         if last_response is None:
             raise self._make_error(inbound, state)
@@ -142,16 +144,16 @@
             elapsed_s * 1000,
         )
         is_late = elapsed_s > state.route.target_latency_s
-        if is_late or response.status >= 500 or state.sent > 1:
+        if is_late or response.status >= 500 or state.attempts > 1:
             events.log(
                 events.Event.CALL_ANSWERED,
                 request=inbound.request_id,
                 route=state.route.name,
                 status=response.status,
                 elapsed_s=round(elapsed_s, 3),
-                sent=state.sent,
-                tried=sorted(state.tried),
-                reason=state.reason,
+                sent=state.attempts,
+                tried=sorted(state.tried_servers),
+                reason=state.failure_reason,
             )
 
     def _pick_service(self, route: catalogue.Route) -> str:
@@ -163,7 +165,7 @@
     def _may_retry(self, state: callstate.CallState) -> bool:
         return (
             state.route.allows_retry()
-            and state.sent < state.route.max_attempts
+            and state.attempts < state.route.max_attempts
             and self.clock.monotonic() < state.deadline
         )
 
@@ -189,7 +191,7 @@
                 return server
             if now >= until:
                 return None
-            state.unavailable.clear()
+            state.unavailable_servers.clear()
             await self.clock.sleep(QUEUE_POLL_S)
 
     def _choose_server(
@@ -201,14 +203,15 @@
         usable = [
             server
             for server in self.servers.list_servers(state.service)
-            if server.is_usable(now) and server.id not in state.unavailable
+            if server.is_usable(now)
+            and server.id not in state.unavailable_servers
         ]
         if inbound.is_background:
             # Background calls leave one slot of each server to other calls.
             usable = [
                 s for s in usable if s.load(now) < max(1, s.entry.slots - 1)
             ]
-        untried = [s for s in usable if s.id not in state.tried]
+        untried = [s for s in usable if s.id not in state.tried_servers]
         return placement.choose(untried or usable, self.zone, now, self.rng)
 
     async def _try_server(
@@ -217,7 +220,10 @@
         state: callstate.CallState,
         server: registry.Server,
     ) -> message.Response | None:
-        """Sends a call to one server; returns None if the attempt failed."""
+        """Sends a call to one server.
+
+        Returns None if the attempt failed or the server rejected the call.
+        """
         now = self.clock.monotonic()
         left_s = min(state.deadline - now, state.route.timeout_s)
         timeout_s = left_s
@@ -230,21 +236,21 @@
             with trio.move_on_after(timeout_s) as scope:
                 response = await self._send_call(state, server, call)
             if scope.cancelled_caught:
-                state.sent += 1
-                state.tried.add(server.id)
-                state.reason = f"no response within {timeout_s:.2f} s"
+                state.attempts += 1
+                state.tried_servers.add(server.id)
+                state.failure_reason = f"no response within {timeout_s:.2f} s"
                 self._update_latency(state.service, timeout_s)
                 server.record_failure(self.clock.monotonic())
         except serverclient.NotSentError:
             raise
         except serverclient.ServerError as e:
-            state.reason = e.reason
+            state.failure_reason = e.reason
             if e.may_have_run:
-                state.sent += 1
-                state.tried.add(server.id)
+                state.attempts += 1
+                state.tried_servers.add(server.id)
             else:
-                state.unavailable.add(server.id)
-                state.reason = ""
+                state.unavailable_servers.add(server.id)
+                state.failure_reason = ""
             server.record_failure(self.clock.monotonic())
             events.log(
                 events.Event.ANSWER_REJECTED,
@@ -258,14 +264,14 @@
         return response
 
     def _attempt_timeout_s(self, state: callstate.CallState) -> float:
-        if state.sent + 1 >= state.route.max_attempts:
+        if state.attempts + 1 >= state.route.max_attempts:
             return float("inf")
         expected_s = max(
             state.route.target_latency_s,
             2 * self.latency_s.get(state.service, 0.0),
             MIN_EXPECTED_LATENCY_S,
         )
-        return ATTEMPT_TIMEOUT_FACTOR * expected_s * 2**state.sent
+        return ATTEMPT_TIMEOUT_FACTOR * expected_s * 2**state.attempts
 
     def _make_call(
         self,
@@ -310,14 +316,14 @@
                 chunks=server_response.body,
                 signature=server_response.signature,
             )
-            is_whole = await response.read_at_most(MAX_BUFFERED_BYTES)
-            self._check_signature(server_response)
-            if not is_whole:
+            is_complete = await response.read_at_most(MAX_BUFFERED_BYTES)
+            self._require_signature(server_response)
+            if not is_complete:
                 stack = opening.pop_all()
-        state.sent += 1
-        state.tried.add(server.id)
+        state.attempts += 1
+        state.tried_servers.add(server.id)
         self._record_success(state, server, started_at)
-        if not is_whole:
+        if not is_complete:
             response.chunks = responsestream.stream_body(
                 stack,
                 response.body,
@@ -338,17 +344,17 @@
             server.update_load(server_response.load, now)
         if not server_response.not_executed:
             return False
-        state.unavailable.add(server.id)
+        state.unavailable_servers.add(server.id)
         if server_response.wrong_server:
             server.record_failure(now)
         return True
 
-    def _check_signature(
+    def _require_signature(
         self, server_response: serverclient.ServerResponse
     ) -> None:
         if not server_response.signature:
             raise serverclient.ServerError(
-                f"expected a signature, status is {server_response.status}",
+                f"no signature, response has status {server_response.status}",
                 True,
             )
 
@@ -393,18 +399,18 @@
             )
             if self._was_rejected(state, server, server_response):
                 return None
-            self._check_signature(server_response)
+            self._require_signature(server_response)
             stack = opening.pop_all()
-        state.sent += 1
-        state.tried.add(server.id)
+        state.attempts += 1
+        state.tried_servers.add(server.id)
         if state.organisation is not None:
             self.usage.count_started(state.organisation.name)
         until = state.deadline + responsestream.STREAM_MARGIN_S
-        pieces = responsestream.stream_body(
+        chunks = responsestream.stream_body(
             stack, b"", server_response, until, self.clock
         )
         return message.Response(
-            server_response.status, server_response.headers, chunks=pieces
+            server_response.status, server_response.headers, chunks=chunks
         )
 
     def _make_error(
@@ -414,13 +420,15 @@
     ) -> errors.ServiceError:
         now = self.clock.monotonic()
         left_s = inbound.received_at + inbound.timeout_s - now
-        if state.sent:
+        if state.attempts:
             code = (
                 errors.ResultCode.BACKEND_TIMEOUT
                 if now >= state.deadline
                 else errors.ResultCode.BACKEND_FAILED
             )
-            error = errors.ServiceError(code, state.reason, errors.Run.UNKNOWN)
+            error = errors.ServiceError(
+                code, state.failure_reason, errors.Run.UNKNOWN
+            )
         else:
             servers = self.servers.list_servers(state.service)
             has_usable = any(s.is_usable(now) for s in servers)
@@ -432,7 +440,7 @@
             wait_s = self.latency_s.get(state.service, 0.1)
             error = errors.ServiceError(
                 code,
-                state.reason,
+                state.failure_reason,
                 retry_after_s=backoff.retry_after_s(wait_s, left_s, self.rng),
             )
         events.log(
@@ -441,10 +449,10 @@
             route=state.route.name,
             service=state.service,
             code=code.number,
-            sent=state.sent,
-            tried=sorted(state.tried),
-            full=sorted(state.unavailable),
-            reason=state.reason,
+            sent=state.attempts,
+            tried=sorted(state.tried_servers),
+            full=sorted(state.unavailable_servers),
+            reason=state.failure_reason,
             left_s=round(left_s, 3),
         )
         return error
--- a/src/kingcupscale/gateway/inboundrequest.py
+++ b/src/kingcupscale/gateway/inboundrequest.py
@@ -1,4 +1,4 @@
-"""A caller's request after decoding."""
+"""The decoded form of a caller's single call."""
 
 from collections.abc import Callable
 
@@ -7,20 +7,21 @@
 
 @attrs.frozen
 class InboundRequest:
-    """A caller's request after decoding.
+    """A caller's request, decoded from HTTP, or a scoring call of this node.
 
     Attributes:
-        request_id: Identity that the caller gave it.
-        method: Method.
+        request_id: Id that its sender gave it.
+        method: HTTP method.
         host: Host header.
-        path: Path.
-        query: Query.
-        headers: Headers that may be passed on.
+        path: Path without the query.
+        query: Query string without the question mark.
+        headers: Headers to forward, lower case.
         body: The whole body.
         key: API key; empty if the caller sent none.
         timeout_s: Seconds, from ``received_at``, that the caller waits.
         received_at: Monotonic time of arrival.
-        resume_after: Number of the last stream event that the caller has.
+        resume_after: Number of the last stream event that the caller has
+            received; None for the whole stream.
         is_background: Whether it is low-priority work, such as scoring, that
             no caller waits for directly.
         before_send: Called right before it is sent to a server; raises
--- a/src/kingcupscale/gateway/placement.py
+++ b/src/kingcupscale/gateway/placement.py
@@ -14,7 +14,8 @@
 # Cost of a server in another zone, as a share of its slots. It must be this
 # much less busy to be worth the traffic between zones.
 OTHER_ZONE_COST = 0.15
-# Cost of each consecutive failure of a server.
+# Cost of each consecutive failure of a server, in latencies of an average idle
+# server.
 FAILURE_COST = 0.5
 
 
@@ -40,10 +41,14 @@
 
 
 def cost(server: registry.Server, zone: str, now: float) -> float:
-    """Returns the expected latency, relative to an average idle server."""
-    share = server.load(now) / max(1, server.entry.slots)
+    """Returns the cost of choosing a server.
+
+    It is the expected latency relative to an average idle server, plus the
+    costs of recent failures and of another zone.
+    """
+    utilisation = server.load(now) / max(1, server.entry.slots)
     total = (
-        1.0 + share
+        1.0 + utilisation
     ) * server.relative_latency + FAILURE_COST * server.failures
     return total if server.entry.zone == zone else total + OTHER_ZONE_COST
 
--- a/src/kingcupscale/gateway/responsestream.py
+++ b/src/kingcupscale/gateway/responsestream.py
@@ -1,4 +1,4 @@
-"""Streams response bodies to callers."""
+"""Streams response bodies from backend servers to callers."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -9,14 +9,14 @@
 from kingcupscale.fleet import serverclient
 
 # Servers end their streams at the time limit by themselves. This margin covers
-# the network latency of the last bytes.
+# the time that the last bytes take to arrive.
 STREAM_MARGIN_S = 0.1
 
 
 async def stream_body(
     stack: contextlib.AsyncExitStack,
-    start: bytes,
-    answer: serverclient.ServerResponse,
+    received: bytes,
+    response: serverclient.ServerResponse,
     until: float,
     clock: clocks.Clock,
 ) -> AsyncIterator[bytes]:
@@ -28,8 +28,8 @@
 
     Args:
         stack: Resources to close after the body.
-        start: The part of the body that has already been read.
-        answer: The response that the body belongs to.
+        received: The part of the body that has already been read.
+        response: The response that the body belongs to.
         until: Monotonic time by which the body has to be complete.
         clock: The clock.
 
@@ -37,17 +37,17 @@
         ServerError: If the body is not complete at the deadline.
     """
     async with stack:
-        if start:
-            yield start
+        if received:
+            yield received
         while True:
-            piece = None
+            chunk = None
             left_s = max(0.0, until - clock.monotonic())
             with trio.move_on_after(left_s) as scope:
-                piece = await anext(answer.body, None)
+                chunk = await anext(response.body, None)
             if scope.cancelled_caught:
                 raise serverclient.ServerError(
                     "response body not complete at its deadline", True
                 )
-            if piece is None:
+            if chunk is None:
                 return
-            yield piece
+            yield chunk
--- a/src/kingcupscale/runtime.py
+++ b/src/kingcupscale/runtime.py
@@ -319,7 +319,7 @@
             duty = leadership.model_duty_name(service, model or "")
             nodes.append(self.peers.holder(duty))
         others = [n for n in dict.fromkeys(nodes) if n != self.settings.node]
-        return await self.peers.fetch_copy(batch_id, others)
+        return await self.peers.fetch_snapshot(batch_id, others)
 
     async def _update_interest(self) -> None:
         """Keeps the set of batches up to date that this node's duties need."""
--- a/src/kingcupscale/web/httpclient.py
+++ b/src/kingcupscale/web/httpclient.py
@@ -77,6 +77,7 @@
     raise RequestError("no complete response in time", may_have_been_sent=True)
 
 
+# Errors after which no byte of the request has been sent.
 _NOT_SENT_ERRORS = (
     httpcore.ConnectError,
     httpcore.ConnectTimeout,
@@ -101,9 +102,9 @@
 # SO_LINGER with timeout 0 closes every connection with a TCP reset. Otherwise,
 # bytes of an aborted request that a network partition delays would still reach
 # the peer when the partition ends.
-_RESET = struct.pack("ii", 1, 0)
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 _SOCKET_OPTIONS = [
-    (socket.SOL_SOCKET, socket.SO_LINGER, _RESET),
+    (socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE),
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -130,6 +131,7 @@
 
     Attributes:
         pools: The pools of recently used addresses, by address.
+        checked_at: Time of the event loop of the last check for idle pools.
     """
 
     def __init__(
--- a/src/kingcupscale/web/httprouter.py
+++ b/src/kingcupscale/web/httprouter.py
@@ -27,7 +27,7 @@
         """
         methods = self.exact.get(request.path)
         if methods is None:
-            return await self._find_prefix(request.path)(request)
+            return await self._find_prefix_handler(request.path)(request)
         handler = methods.get(request.method)
         if handler is None:
             raise errors.ServiceError(
@@ -36,7 +36,7 @@
             )
         return await handler(request)
 
-    def _find_prefix(self, path: str) -> message.Handler:
+    def _find_prefix_handler(self, path: str) -> message.Handler:
         for prefix in sorted(self.prefixes, key=len, reverse=True):
             if path.startswith(prefix):
                 return self.prefixes[prefix]
--- a/src/kingcupscale/web/server.py
+++ b/src/kingcupscale/web/server.py
@@ -35,7 +35,7 @@
         self.get_limits = get_limits
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Serves one ASGI connection."""
+        """Serves one ASGI scope: a request, or the lifespan of the server."""
         if scope["type"] == "lifespan":
             await _serve_lifespan(receive, send)
         elif scope["type"] == "http":
@@ -51,7 +51,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_cancel_on_disconnect, nursery, receive)
             handled = await run_handler(self.handler, request)
-            await _send_head(handled, send)
+            await _send_headers(handled, send)
             response = handled
             nursery.cancel_scope.cancel()
         # hypercorn also reports a disconnect when it completes a response, so
@@ -69,14 +69,14 @@
                 for name, value in scope["headers"]
             },
         )
-        self._check_head(scope)
+        self._check_header_size(scope)
         self._check_declared_length(request.headers)
         with trio.move_on_after(self.get_limits().body_timeout_s):
             request.body = await self._read_body(receive)
             return request
         raise errors.ServiceError(errors.ResultCode.BODY_TIMEOUT)
 
-    def _check_head(self, scope: Any) -> None:
+    def _check_header_size(self, scope: Any) -> None:
         size = sum(len(name) + len(value) for name, value in scope["headers"])
         size += len(scope["raw_path"]) + len(scope["query_string"])
         if size > self.get_limits().header_bytes:
@@ -147,11 +147,11 @@
 
 
 async def _send_response(response: message.Response, send: Any) -> None:
-    await _send_head(response, send)
+    await _send_headers(response, send)
     await _send_body(send, response.body, more=False)
 
 
-async def _send_head(response: message.Response, send: Any) -> None:
+async def _send_headers(response: message.Response, send: Any) -> None:
     """Sends the headers, and the body if it is streamed.
 
     The caller sends the last chunk: the whole body if it is not streamed, or
--- a/src/kingcupscale/web/worker.py
+++ b/src/kingcupscale/web/worker.py
@@ -116,7 +116,7 @@
         """Closes connections whose idle or header timeout has passed."""
         now, allowed = trio.current_time(), self.get_limits()
         for stream in list(self.streams):
-            waited_s = now - stream.since
+            waited_s = now - stream.waiting_since
             if stream.has_bytes and waited_s > allowed.header_timeout_s:
                 stream.close_unless_handling()
             elif waited_s > allowed.idle_s:
@@ -128,7 +128,9 @@
         self.streams.add(stream)
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._run, stream, nursery.cancel_scope)
+                nursery.start_soon(
+                    self._run_hypercorn, stream, nursery.cancel_scope
+                )
                 await stream.closed.wait()
                 await trio.sleep(CLOSED_TASKS_TIMEOUT_S)
                 nursery.cancel_scope.cancel()
@@ -147,7 +149,7 @@
             stream.requests -= 1
             stream.mark_handled()
 
-    async def _run(
+    async def _run_hypercorn(
         self, stream: "WatchedStream", connection: trio.CancelScope
     ) -> None:
         """Runs hypercorn's server; an error closes only this connection."""
@@ -187,8 +189,8 @@
         requests: Number of requests being handled.
         has_bytes: Whether bytes of a further request have been read.
         is_used: Whether any request has been handled.
-        since: Time of the event loop at which it became idle, or at which the
-            first byte of a request arrived.
+        waiting_since: Time of the event loop at which it became idle, or at
+            which the first byte of a request arrived.
     """
 
     def __init__(self, stream: trio.SocketStream) -> None:
@@ -198,13 +200,13 @@
         self.requests = 0
         self.has_bytes = False
         self.is_used = False
-        self.since = trio.current_time()
+        self.waiting_since = trio.current_time()
 
     def mark_handled(self) -> None:
         """Records the end of a request; later bytes belong to the next one."""
         self.has_bytes = False
         self.is_used = True
-        self.since = trio.current_time()
+        self.waiting_since = trio.current_time()
 
     def close_if_idle(self) -> None:
         """Closes the connection unless a request is being read or handled."""
@@ -225,7 +227,7 @@
             return b""
         if data and not self.has_bytes:
             self.has_bytes = True
-            self.since = trio.current_time()
+            self.waiting_since = trio.current_time()
         return data
 
     async def send_all(self, data: bytes | bytearray | memoryview) -> None:
--- a/tests/platform/endlessserver.py
+++ b/tests/platform/endlessserver.py
@@ -4,11 +4,11 @@
 
 import trio
 
-PIECE = b"x" * 16_384
-EVENTS_AT_ONCE = 50
+FILLER = b"x" * 16_384
+EVENTS_PER_CHUNK = 50
 # A response ends here after all, so that a client that keeps reading fails the
 # test instead of exhausting the machine's memory.
-GUARD_BYTES = 4_000_000_000
+MAX_SENT_BYTES = 4_000_000_000
 
 SIGNED = (
     b"X-Kingcupscale-Request-Id: %(id)s\r\n"
@@ -27,29 +27,39 @@
 
 # By kind: the start of the response, and the part that is repeated.
 KINDS = {
-    "head": (b"HTTP/1.1 200 OK\r\nX-Long: ", PIECE),
+    "head": (b"HTTP/1.1 200 OK\r\nX-Long: ", FILLER),
     "head_lines": (b"HTTP/1.1 200 OK\r\n", b"X-Line: y\r\n" * 1000),
     "other_heads": (b"", EARLY_HINTS * 100),
     "no_http": (b"", b"\x00\xff" * 8_000),
     "chunk_size": (CHUNKED, b"0" * 16_384),
-    "chunk_extension": (CHUNKED + b"4;", PIECE),
-    "trailer": (CHUNKED + b"0\r\nX-Trailer: ", PIECE),
-    "body_of_a_length": (OK + b"Content-Length: 99999999999\r\n\r\n", PIECE),
-    "body_in_chunks": (CHUNKED, _chunk(PIECE)),
+    "chunk_extension": (CHUNKED + b"4;", FILLER),
+    "trailer": (CHUNKED + b"0\r\nX-Trailer: ", FILLER),
+    "body_of_a_length": (OK + b"Content-Length: 99999999999\r\n\r\n", FILLER),
+    "body_in_chunks": (CHUNKED, _chunk(FILLER)),
     "body_in_small_chunks": (CHUNKED, _chunk(b"x") * 2000),
-    "body_until_the_end": (OK + b"Connection: close\r\n\r\n", PIECE),
-    "event": (CHUNKED + _chunk(b"id: 1\ndata: "), _chunk(PIECE)),
+    "body_until_the_end": (OK + b"Connection: close\r\n\r\n", FILLER),
+    "event": (CHUNKED + _chunk(b"id: 1\ndata: "), _chunk(FILLER)),
     "events": (CHUNKED, None),
-    "behind_an_answer": (COMPLETE_RESPONSE, PIECE),
+    "behind_an_answer": (COMPLETE_RESPONSE, FILLER),
     "copies_of_an_answer": (COMPLETE_RESPONSE, COMPLETE_RESPONSE * 50),
 }
 
 
 class Server:
-    """Answers every request with an endless response."""
+    """Sends an endless response to every request.
+
+    Attributes:
+        start: What it sends first, once per request.
+        repeated: What it sends again and again after that; None for numbered
+            events.
+        sent: Bytes sent so far, without the starts.
+        connections: Connections accepted so far.
+        closed: Connections that the client has closed.
+        address: ``host:port``.
+    """
 
     def __init__(self, kind):
-        self.first, self.piece = KINDS[kind]
+        self.start, self.repeated = KINDS[kind]
         self.sent = 0
         self.connections = 0
         self.closed = 0
@@ -60,33 +70,33 @@
         host, port = listener.socket.getsockname()
         self.address = f"{host}:{port}"
         await trio.serve_listeners(
-            self._answer, [listener], task_status=task_status
+            self._respond, [listener], task_status=task_status
         )
 
-    async def _answer(self, stream):
+    async def _respond(self, stream):
         self.connections += 1
         request = b""
         try:
             while b"\r\n\r\n" not in request:
                 request += await stream.receive_some()
             found = re.search(rb"(?i)request-id: (\S+)", request)
-            names = {b"id": found[1] if found else b""}
-            await stream.send_all(self.first % names if names else self.first)
+            fields = {b"id": found[1] if found else b""}
+            await stream.send_all(self.start % fields if fields else self.start)
             number = 0
-            while self.sent < GUARD_BYTES:
-                piece = self.piece
-                if piece is None:
-                    piece = b"".join(
+            while self.sent < MAX_SENT_BYTES:
+                data = self.repeated
+                if data is None:
+                    data = b"".join(
                         _chunk(
                             b"id: %d\ndata: %s\n\n" % (number + n, b"y" * 99)
                         )
-                        for n in range(1, EVENTS_AT_ONCE + 1)
+                        for n in range(1, EVENTS_PER_CHUNK + 1)
                     )
-                    number += EVENTS_AT_ONCE
-                elif b"%(id)s" in piece:
-                    piece = piece % names
-                await stream.send_all(piece)
-                self.sent += len(piece)
+                    number += EVENTS_PER_CHUNK
+                elif b"%(id)s" in data:
+                    data = data % fields
+                await stream.send_all(data)
+                self.sent += len(data)
         except trio.BrokenResourceError:
             self.closed += 1
         finally:
@@ -100,8 +110,8 @@
         super().__init__("head")
         self.duplicates = 0
 
-    async def _answer(self, stream):
-        last = b""
+    async def _respond(self, stream):
+        previous = b""
         request = b""
         try:
             while data := await stream.receive_some():
@@ -115,8 +125,8 @@
                     len(body),
                     body,
                 )
-                self.duplicates += bool(last)
-                await stream.send_all(last + response)
-                last, request = response, b""
+                self.duplicates += bool(previous)
+                await stream.send_all(previous + response)
+                previous, request = response, b""
         except trio.BrokenResourceError:
             self.closed += 1
--- a/tests/platform/fakeservers.py
+++ b/tests/platform/fakeservers.py
@@ -1,4 +1,4 @@
-"""In-memory backend servers and cloud that record the requests they get."""
+"""In-memory backend servers and cloud API that record the requests they get."""
 
 import collections
 
@@ -13,7 +13,18 @@
 
 @attrs.define
 class Run:
-    """A run that a server has started."""
+    """A request that a server has started to execute.
+
+    Attributes:
+        request: Id of the request.
+        server: Id of the server.
+        version: Weight version; 0 on a plain server.
+        resumed_after: Number of the last event that the client already has;
+            None if it is not resumed.
+        at: Time at which it started.
+        events: Number of events sent so far.
+        is_complete: Whether the response is complete.
+    """
 
     request: str
     server: str
@@ -21,11 +32,28 @@
     resumed_after: int | None
     at: float
     events: int = 0
-    is_whole: bool = False
+    is_complete: bool = False
 
 
 class Server:
-    """A backend server: a model engine, or a plain server without a model."""
+    """A backend server: a model engine, or a plain server without a model.
+
+    Attributes:
+        event_s: Seconds that each event takes, or a whole plain response.
+        length: Number of events of a stream.
+        orders: Number of orders accepted.
+        heartbeats: Number of times that it wrote its entry.
+        fence: Highest fencing token of any order.
+        loading: Model whose weights it is loading; empty if none.
+        is_full: Whether it rejects all requests.
+        statuses: Statuses of the next responses; 200 when it is empty.
+        started_runs: The requests that it has started to execute.
+        running: Ids of the requests that are running.
+        stall_after: Number of the event after which streams stall; None for
+            never.
+        is_leaving: Whether responses say that it is about to shut down.
+        start_ms: Start time, as in its entry.
+    """
 
     def __init__(self, site, server_id, service, zone, model="", slots=4):
         self.site = site
@@ -48,7 +76,7 @@
         self.running = set()
         self.stall_after = None
         self.is_leaving = False
-        self.born = 1
+        self.start_ms = 1
 
     def register(self):
         self.heartbeats += 1
@@ -61,7 +89,7 @@
             "state": self.state,
             "coldRemainingMs": 0,
             "sequence": self.heartbeats,
-            "born": self.born,
+            "born": self.start_ms,
             "models": self.models(),
         }
         self.site.store.put(names.SERVERS_PREFIX + self.id, orjson.dumps(entry))
@@ -157,7 +185,7 @@
             await trio.sleep(self.event_s)
         finally:
             self.running.discard(run.request)
-        run.is_whole = True
+        run.is_complete = True
         return message.Response(200, self.head(request), b"the answer")
 
     async def stream(self, run):
@@ -170,13 +198,13 @@
                     await trio.sleep_forever()
                 run.events += 1
                 yield f"id: {number}\ndata: t{number}\n\n".encode()
-            run.is_whole = True
+            run.is_complete = True
         finally:
             self.running.discard(run.request)
 
 
 class Cloud:
-    """Accepts usage reports and orders for servers."""
+    """The cloud API: accepts usage reports and orders for servers."""
 
     def __init__(self, site):
         self.site = site
--- a/tests/platform/test_endless.py
+++ b/tests/platform/test_endless.py
@@ -36,19 +36,21 @@
 from tests.platform import endlessserver
 from tests.platform import harness
 
-GUARD_S = 30.0
+TEST_TIMEOUT_S = 30.0
 HOLDER = locks.Holder("n1", 1, lambda: None)
 CALL_TIMEOUT_S = 0.6
-HEAD_S = 0.8
+HEADER_TIMEOUT_S = 0.8
+# Time that a call may take beyond its timeout.
 SLACK_S = 0.7
-CALLS_AT_ONCE = 50
-MEMORY_BYTES = 10_000_000
+CONCURRENT_CALLS = 50
+# Most memory that all concurrent requests may take together.
+MAX_MEMORY_BYTES = 10_000_000
 KINDS = tuple(endlessserver.KINDS)
 
 
 class Usage:
     def count_started(self, organisation):
-        """Does nothing."""
+        """Ignores the request; these tests check no usage."""
 
 
 class CurrentMirror:
@@ -83,7 +85,7 @@
                     server.address,
                     "a",
                     registry.ServerState.READY,
-                    2 * CALLS_AT_ONCE,
+                    2 * CONCURRENT_CALLS,
                     1,
                     {harness.MODEL: 1},
                 )
@@ -132,8 +134,8 @@
         try:
             response = await self.send(number, path)
             if response.chunks is not None:
-                async with contextlib.aclosing(response.chunks) as pieces:
-                    async for _ in pieces:
+                async with contextlib.aclosing(response.chunks) as chunks:
+                    async for _ in chunks:
                         pass
         except (errors.ServiceError, serverclient.ServerError) as e:
             return e
@@ -158,7 +160,7 @@
     """Runs an async function with an endless server of a kind."""
 
     async def main():
-        with trio.fail_after(GUARD_S):
+        with trio.fail_after(TEST_TIMEOUT_S):
             async with trio.open_nursery() as nursery:
                 server = endlessserver.Server(kind)
                 await nursery.start(server.serve)
@@ -167,7 +169,7 @@
                 await setup.http_client.aclose()
                 nursery.cancel_scope.cancel()
 
-    with mock.patch.object(generation, "HEADER_TIMEOUT_S", HEAD_S):
+    with mock.patch.object(generation, "HEADER_TIMEOUT_S", HEADER_TIMEOUT_S):
         trio.run(main)
 
 
@@ -211,9 +213,9 @@
     @parameterized.parameterized.expand([(kind,) for kind in KINDS])
     def test_sample_ends_in_time(self, kind):
         async def check(server, setup):
-            with trio.fail_after(HEAD_S + SLACK_S):
-                is_whole = await setup.run_sample(1)
-            self.assertFalse(is_whole)
+            with trio.fail_after(HEADER_TIMEOUT_S + SLACK_S):
+                is_complete = await setup.run_sample(1)
+            self.assertFalse(is_complete)
             engine = setup.server_registry.servers["engines"]
             self.assertGreater(engine.failures, 0)
 
@@ -238,12 +240,12 @@
             try:
                 baseline, _ = tracemalloc.get_traced_memory()
                 async with trio.open_nursery() as nursery:
-                    for number in range(CALLS_AT_ONCE):
+                    for number in range(CONCURRENT_CALLS):
                         nursery.start_soon(send_one, number)
                 _, peak = tracemalloc.get_traced_memory()
             finally:
                 tracemalloc.stop()
-            self.assertLess(peak - baseline, MEMORY_BYTES)
+            self.assertLess(peak - baseline, MAX_MEMORY_BYTES)
 
         run_with_server(kind, check)
 
@@ -274,7 +276,7 @@
         ]
     )
     def test_next_call_does_not_get_the_previous_response(
-        self, _, path, may_repeat
+        self, _, path, allows_retry
     ):
         async def main():
             server = endlessserver.DuplicatingServer()
@@ -284,7 +286,7 @@
                 first = await setup.send(1, path)
                 self.assertEqual(first.body, b"answer to r1")
                 setup.server_registry.servers["plain"].record_success()
-                if may_repeat:
+                if allows_retry:
                     second = await setup.send(2, path)
                     self.assertEqual(second.body, b"answer to r2")
                 else:
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -47,12 +47,12 @@
     await site.read_all(site.nodes[0])
 
 
-async def _order(site):
+async def _set_target_version(site):
     site.set_target_version(2)
     await trio.sleep(3)
 
 
-async def _report(site):
+async def _fetch_status(site):
     node = site.nodes[0].runtime
     for name in (*PLAIN, *ENGINES):
         with contextlib.suppress(serverclient.ServerError):
@@ -73,8 +73,8 @@
             ("sample", ENGINES, _run_batch, 200),
             ("failed_sample", ENGINES, _run_batch, 500),
             ("refused_sample", ENGINES, _run_batch, 503),
-            ("report", ENGINES, _report, 200),
-            ("order", ENGINES[::-1], _order, 200),
+            ("report", ENGINES, _fetch_status, 200),
+            ("order", ENGINES[::-1], _set_target_version, 200),
         ]
     )
     @virtual.on_virtual_time
@@ -122,7 +122,7 @@
                 servers = site.nodes[0].runtime.server_registry.servers
                 self.assertNotIn(server.id, servers)
             if not is_leaving:
-                server.born += 1
+                server.start_ms += 1
             server.register()
             await trio.sleep(1)
             started = len(server.started_runs)
@@ -134,11 +134,11 @@
         async with harness.launch(nodes=1) as site:
             server = site.servers["p2"]
 
-            async def answer_as_another(request):
+            async def respond_as_another_server(request):
                 headers = {names.SERVER_ID: "px", names.SERVER_LEAVING: "1"}
                 return message.Response(421, headers)
 
-            server.handle = answer_as_another
+            server.handle = respond_as_another_server
             await _call(site)
             known = site.nodes[0].runtime.server_registry.servers["p2"]
             self.assertFalse(known.is_leaving)
@@ -150,11 +150,11 @@
             node = site.nodes[0].runtime
             server = site.servers["e1"]
 
-            async def answer_with_a_copy(_):
+            async def respond_with_a_copy(_):
                 headers = {names.SIGNATURE: "x", names.REQUEST_ID: "earlier"}
                 return message.Response(200, headers, b"{}")
 
-            server.handle = answer_with_a_copy
+            server.handle = respond_with_a_copy
             order = serverclient.VersionOrder(harness.MODEL, 2, True, HOLDER, 0)
             with self.assertRaises(serverclient.ServerError) as caught:
                 await node.dependencies.servers.order(
@@ -164,7 +164,10 @@
 
     @virtual.on_virtual_time
     async def test_each_node_stops_by_its_own_responses(self):
-        """Each node sends at most one request before it knows."""
+        """Each node sends the server at most one request.
+
+        It learns from the response that the server is about to shut down.
+        """
         async with harness.launch(nodes=6) as site:
             server = site.servers["p2"]
             server.is_leaving = True
--- a/tests/test_web_connections.py
+++ b/tests/test_web_connections.py
@@ -12,14 +12,14 @@
 from kingcupscale.web import server
 from tests import test_web_server as servers
 
-IDLE_S = 0.6
-HEADER_S = 1.0
+IDLE_TIMEOUT_S = 0.6
+HEADER_TIMEOUT_S = 1.0
 REQUEST = b"GET /%d HTTP/1.1\r\nhost: a\r\n\r\n"
-
+# The start of ``REQUEST % 2``.
 PARTIAL_REQUEST = b"GET /2 HT"
 
 
-async def _answer(request):
+async def _handle(request):
     return message.Response(200, {}, b"whole")
 
 
@@ -29,7 +29,7 @@
     stop = trio.Event()
     async with trio.open_nursery() as nursery:
         address = await nursery.start(
-            server.serve, _answer, "127.0.0.1:0", get_limits, stop.wait
+            server.serve, _handle, "127.0.0.1:0", get_limits, stop.wait
         )
         host, _, port = address.rpartition(":")
         stream = await trio.open_tcp_stream(host, int(port))
@@ -38,7 +38,7 @@
         stop.set()
 
 
-async def _read_answer(stream):
+async def _read_response(stream):
     data = b""
     while not data.endswith(b"whole"):
         received = await stream.receive_some()
@@ -57,21 +57,33 @@
 
     @parameterized.parameterized.expand(
         [
-            ("used_again_in_time", [(0.0, REQUEST % 1)], 0.5 * IDLE_S, True),
-            ("idle_too_long", [(0.0, REQUEST % 1)], 3 * IDLE_S, False),
-            ("never_used", [], 3 * IDLE_S, False),
+            (
+                "used_again_in_time",
+                [(0.0, REQUEST % 1)],
+                0.5 * IDLE_TIMEOUT_S,
+                True,
+            ),
+            ("idle_too_long", [(0.0, REQUEST % 1)], 3 * IDLE_TIMEOUT_S, False),
+            ("never_used", [], 3 * IDLE_TIMEOUT_S, False),
             (
                 # The idle timeout passes while the headers are read.
                 "started_in_time",
-                [(0.0, REQUEST % 1), (0.8 * IDLE_S, PARTIAL_REQUEST)],
-                0.8 * HEADER_S,
+                [(0.0, REQUEST % 1), (0.8 * IDLE_TIMEOUT_S, PARTIAL_REQUEST)],
+                0.8 * HEADER_TIMEOUT_S,
                 True,
             ),
-            ("slow_head", [(0.0, PARTIAL_REQUEST)], 2 * HEADER_S, False),
+            (
+                "slow_head",
+                [(0.0, PARTIAL_REQUEST)],
+                2 * HEADER_TIMEOUT_S,
+                False,
+            ),
         ]
     )
     def test_connection_is_kept_open(self, _, parts, pause_s, is_kept):
-        allowed = limits.Limits(idle_s=IDLE_S, header_timeout_s=HEADER_S)
+        allowed = limits.Limits(
+            idle_s=IDLE_TIMEOUT_S, header_timeout_s=HEADER_TIMEOUT_S
+        )
 
         async def main():
             async with _connected(limits.constant(allowed)) as stream:
@@ -79,7 +91,7 @@
                     await trio.sleep(delay_s)
                     await stream.send_all(part)
                     if part.endswith(b"\r\n\r\n"):
-                        await _read_answer(stream)
+                        await _read_response(stream)
                 await trio.sleep(pause_s)
                 is_started = parts and len(parts[-1][1]) == len(PARTIAL_REQUEST)
                 rest = (REQUEST % 2)[len(PARTIAL_REQUEST) :]
@@ -89,7 +101,7 @@
                     await stream.send_all(rest)
                 data = b""
                 with contextlib.suppress(OSError, trio.BrokenResourceError):
-                    data = await _read_answer(stream)
+                    data = await _read_response(stream)
                 is_answered = data.endswith(b"whole")
                 self.assertEqual(is_answered, is_kept)
 
@@ -105,7 +117,7 @@
                 body = b"\r\n" + 20 * b"x"
                 allowed = limits.Limits(body_bytes=20)
                 await stream.send_all(head + body)
-                self.assertIn(b"200", (await _read_answer(stream))[:20])
+                self.assertIn(b"200", (await _read_response(stream))[:20])
                 allowed = limits.Limits(body_bytes=10)
                 await stream.send_all(head + body)
                 self.assertIn(b"413", (await stream.receive_some())[:20])
@@ -116,19 +128,23 @@
 class StopTest(unittest.TestCase):
     """A planned shutdown while requests arrive on open connections.
 
-    A server that closes a connection on which it is reading a request loses a
-    request that its handler may have started.
+    Every request that the handler has started must be answered. A server that
+    closes a connection on which it is reading a request loses a request that
+    its handler may have started.
     """
 
     @parameterized.parameterized.expand(
         [
-            (f"{kind}_{seed}", seed, is_used, least)
-            for kind, is_used, least in (("new", False, 25), ("used", True, 0))
+            (f"{kind}_{seed}", seed, is_used, min_answered)
+            for kind, is_used, min_answered in (
+                ("new", False, 25),
+                ("used", True, 0),
+            )
             for seed in range(3)
         ]
     )
     def test_every_read_request_is_answered_on_shutdown(
-        self, _, seed, is_used, least
+        self, _, seed, is_used, min_answered
     ):
         rng = random.Random(seed)
         started, answered = set(), set()
@@ -188,4 +204,4 @@
 
         trio.run(main)
         self.assertEqual(started - answered, set())
-        self.assertGreaterEqual(len(answered), least)
+        self.assertGreaterEqual(len(answered), min_answered)
--- a/tests/test_web_server.py
+++ b/tests/test_web_server.py
@@ -18,7 +18,8 @@
 LIMITS = limits.constant(
     limits.Limits(body_bytes=1000, header_bytes=2000, body_timeout_s=0.3)
 )
-GUARD_S = 30.0
+# Timeout of a test; far above what a test takes that succeeds.
+TEST_TIMEOUT_S = 30.0
 
 
 class Handler:
@@ -32,7 +33,7 @@
         if request.path == "/slow":
             self.started.set()
             try:
-                await trio.sleep(GUARD_S)
+                await trio.sleep(TEST_TIMEOUT_S)
             except trio.Cancelled:
                 self.cancelled.set()
                 raise
@@ -57,7 +58,7 @@
         async def main():
             stop = trio.Event()
             handler = Handler()
-            with trio.fail_after(GUARD_S):
+            with trio.fail_after(TEST_TIMEOUT_S):
                 async with trio.open_nursery() as nursery:
                     address = await nursery.start(
                         server.serve, handler, "127.0.0.1:0", LIMITS, stop.wait
@@ -171,12 +172,12 @@
                     await httpclient.fetch(http_client, address, request, 5)
                 stop.set()
 
-        async def guarded():
+        async def run_with_timeout():
             # Well under the 60 s graceful timeout of open requests.
-            with trio.fail_after(GUARD_S):
+            with trio.fail_after(TEST_TIMEOUT_S):
                 await main()
 
-        trio.run(guarded)
+        trio.run(run_with_timeout)
 
 
 class HttpClientTest(unittest.TestCase):
