--- a/src/kingcupscale/gateway/callstate.py
+++ b/src/kingcupscale/gateway/callstate.py
@@ -15,8 +15,8 @@
         service: The service it goes to.
         deadline: Monotonic time at which the call times out.
         wait_until: Monotonic time until which it waits for a free slot.
-        tried_servers: Servers that executed it or may have.
-        unavailable_servers: Servers that rejected it or were unreachable since
+        tried: Servers that executed it or may have.
+        unavailable: Servers that rejected it or were unreachable since
             the last poll.
         attempts: Number of attempts that a server executed or may have.
         failure_reason: Why the last failed attempt failed; empty if none has
@@ -28,7 +28,7 @@
     service: str
     deadline: float
     wait_until: float
-    tried_servers: set[str] = attrs.field(factory=set)
-    unavailable_servers: set[str] = attrs.field(factory=set)
+    tried: set[str] = attrs.field(factory=set)
+    unavailable: set[str] = attrs.field(factory=set)
     attempts: int = 0
     failure_reason: str = ""
--- a/src/kingcupscale/gateway/forwarder.py
+++ b/src/kingcupscale/gateway/forwarder.py
@@ -152,7 +152,7 @@
                 status=response.status,
                 elapsed_s=round(elapsed_s, 3),
                 sent=state.attempts,
-                tried=sorted(state.tried_servers),
+                tried=sorted(state.tried),
                 reason=state.failure_reason,
             )
 
@@ -191,7 +191,7 @@
                 return server
             if now >= until:
                 return None
-            state.unavailable_servers.clear()
+            state.unavailable.clear()
             await self.clock.sleep(QUEUE_POLL_S)
 
     def _choose_server(
@@ -203,15 +203,14 @@
         usable = [
             server
             for server in self.servers.list_servers(state.service)
-            if server.is_usable(now)
-            and server.id not in state.unavailable_servers
+            if server.is_usable(now) and server.id not in state.unavailable
         ]
         if inbound.is_background:
             # Background calls leave one slot of each server to other calls.
             usable = [
                 s for s in usable if s.load(now) < max(1, s.entry.slots - 1)
             ]
-        untried = [s for s in usable if s.id not in state.tried_servers]
+        untried = [s for s in usable if s.id not in state.tried]
         return placement.choose(untried or usable, self.zone, now, self.rng)
 
     async def _try_server(
@@ -237,7 +236,7 @@
                 response = await self._send_call(state, server, call)
             if scope.cancelled_caught:
                 state.attempts += 1
-                state.tried_servers.add(server.id)
+                state.tried.add(server.id)
                 state.failure_reason = f"no response within {timeout_s:.2f} s"
                 self._update_latency(state.service, timeout_s)
                 server.record_failure(self.clock.monotonic())
@@ -247,9 +246,9 @@
             state.failure_reason = e.reason
             if e.may_have_run:
                 state.attempts += 1
-                state.tried_servers.add(server.id)
+                state.tried.add(server.id)
             else:
-                state.unavailable_servers.add(server.id)
+                state.unavailable.add(server.id)
                 state.failure_reason = ""
             server.record_failure(self.clock.monotonic())
             events.log(
@@ -321,7 +320,7 @@
             if not is_complete:
                 stack = opening.pop_all()
         state.attempts += 1
-        state.tried_servers.add(server.id)
+        state.tried.add(server.id)
         self._record_success(state, server, started_at)
         if not is_complete:
             response.chunks = responsestream.stream_body(
@@ -344,7 +343,7 @@
             server.update_load(server_response.load, now)
         if not server_response.not_executed:
             return False
-        state.unavailable_servers.add(server.id)
+        state.unavailable.add(server.id)
         if server_response.wrong_server:
             server.record_failure(now)
         return True
@@ -402,7 +401,7 @@
             self._require_signature(server_response)
             stack = opening.pop_all()
         state.attempts += 1
-        state.tried_servers.add(server.id)
+        state.tried.add(server.id)
         if state.organisation is not None:
             self.usage.count_started(state.organisation.name)
         until = state.deadline + responsestream.STREAM_MARGIN_S
@@ -450,8 +449,8 @@
             service=state.service,
             code=code.number,
             sent=state.attempts,
-            tried=sorted(state.tried_servers),
-            full=sorted(state.unavailable_servers),
+            tried=sorted(state.tried),
+            full=sorted(state.unavailable),
             reason=state.failure_reason,
             left_s=round(left_s, 3),
         )
