--- a/src/kingcupscale/configuration/admission.py
+++ b/src/kingcupscale/configuration/admission.py
@@ -70,7 +70,9 @@
 
         A process that was suspended still lists all members as alive.
         """
-        if self.replica.document.nodes.keys() <= {self.members.me.name}:
+        if self.replica.document.nodes.keys() <= {
+            self.members.local_member.name
+        }:
             return True
         if self.contact_at is None:
             return False
@@ -115,7 +117,7 @@
     def _log_change(self, is_admitting: bool) -> None:
         events.log(
             events.Event.ADMISSION_CHANGED,
-            node=self.members.me.name,
+            node=self.members.local_member.name,
             admitting=is_admitting,
             revision=self.replica.revision,
         )
--- a/src/kingcupscale/configuration/editor.py
+++ b/src/kingcupscale/configuration/editor.py
@@ -209,7 +209,7 @@
     def _log_accepted(self, change: changes.Change) -> None:
         events.log(
             events.Event.CONFIGURATION_CHANGED,
-            node=self.members.me.name,
+            node=self.members.local_member.name,
             revision=change.revision,
             operator=change.operator,
             paths=sorted(change.entries),
@@ -223,7 +223,7 @@
         except calls.PlatformError as e:
             events.log(
                 events.Event.STORE_FAILED,
-                node=self.members.me.name,
+                node=self.members.local_member.name,
                 reason=e.reason,
             )
 
@@ -253,7 +253,7 @@
             self.replica.revision, sorted(reached), sorted(pending)
         )
 
-    async def confirm(self) -> AcceptedChange:
+    async def push_newest(self) -> AcceptedChange:
         """Pushes the newest revision and returns which members have it.
 
         Raises:
@@ -274,10 +274,10 @@
         Raises:
             ServiceError: ``MAJORITY_LOST`` if no majority has confirmed it.
         """
-        self.replica.withdraw({key_id})
+        self.replica.mark_withdrawn({key_id})
         events.log(
             events.Event.KEY_WITHDRAWN_EMERGENCY,
-            node=self.members.me.name,
+            node=self.members.local_member.name,
             key_id=key_id,
             operator=operator,
             reason=reason,
@@ -297,7 +297,7 @@
             await self.clock.sleep(MAINTENANCE_INTERVAL_S)
 
     def _maintenance_entries(self) -> dict[str, Any]:
-        zone = self.members.me.zone
+        zone = self.members.local_member.zone
         entries: dict[str, Any] = {
             f"nodes/{member.name}": {"zone": zone}
             for member in self.members.alive()
@@ -334,6 +334,6 @@
         except errors.ServiceError as e:
             events.log(
                 events.Event.STORE_FAILED,
-                node=self.members.me.name,
+                node=self.members.local_member.name,
                 reason=str(e),
             )
--- a/src/kingcupscale/configuration/log.py
+++ b/src/kingcupscale/configuration/log.py
@@ -51,8 +51,8 @@
         Raises:
             PlatformError: If the store cannot be reached.
         """
-        answer = await self.store.scan(CHANGES_PREFIX, change_key(since))
-        return await self._make_result(answer, since)
+        response = await self.store.scan(CHANGES_PREFIX, change_key(since))
+        return await self._make_result(response, since)
 
     async def watch(
         self, since: int, after: int, timeout_s: float
@@ -67,13 +67,15 @@
         Raises:
             PlatformError: If the store cannot be reached.
         """
-        answer = await self.store.watch(CHANGES_PREFIX, after, timeout_s)
-        return await self._make_result(answer, since)
+        response = await self.store.watch(CHANGES_PREFIX, after, timeout_s)
+        return await self._make_result(response, since)
 
     async def _make_result(
-        self, answer: keyvalue.GetResponse, since: int
+        self, response: keyvalue.GetResponse, since: int
     ) -> ReadResult:
-        found = [codec.decode(changes.Change, e.value) for e in answer.entries]
+        found = [
+            codec.decode(changes.Change, e.value) for e in response.entries
+        ]
         found = [change for change in found if change.revision > since]
         snapshot = None
         if not found or found[0].revision != since + 1:
@@ -81,7 +83,7 @@
         last = found[-1].revision if found else since
         revision = max(last, snapshot.revision if snapshot else 0)
         batch = changes.Batch(snapshot, found)
-        return ReadResult(batch, revision, answer.version)
+        return ReadResult(batch, revision, response.version)
 
     async def _read_snapshot(self, since: int) -> changes.Snapshot | None:
         entry = await self.store.get(SNAPSHOT_KEY)
@@ -101,10 +103,10 @@
         """
         text = codec.encode(change).decode()
         key = change_key(change.revision)
-        answer = await keyvalue.put_resolved(
+        response = await keyvalue.put_resolved(
             self.store, key, text, keyvalue.ABSENT
         )
-        return answer.written
+        return response.written
 
     async def compact(self, revision: int, entries: document.Entries) -> None:
         """Writes a snapshot at intervals and deletes old changes.
@@ -118,12 +120,12 @@
         version = entry.version if entry else keyvalue.ABSENT
         snapshot = changes.Snapshot(revision, entries)
         text = codec.encode(snapshot).decode()
-        answer = await self.store.put(SNAPSHOT_KEY, text, version)
-        if answer.written:
+        response = await self.store.put(SNAPSHOT_KEY, text, version)
+        if response.written:
             await self._delete_changes(revision - SNAPSHOT_INTERVAL)
 
     async def _delete_changes(self, last: int) -> None:
-        answer = await self.store.scan(CHANGES_PREFIX)
-        for entry in answer.entries:
+        response = await self.store.scan(CHANGES_PREFIX)
+        for entry in response.entries:
             if entry.key <= change_key(last):
                 await self.store.put(entry.key, None, entry.version)
--- a/src/kingcupscale/configuration/replica.py
+++ b/src/kingcupscale/configuration/replica.py
@@ -81,7 +81,7 @@
         for listener in self.listeners:
             listener()
 
-    def withdraw(self, key_ids: set[str]) -> bool:
+    def mark_withdrawn(self, key_ids: set[str]) -> bool:
         """Adds ids of withdrawn keys; returns whether any was new."""
         if key_ids <= self.withdrawn:
             return False
--- a/src/kingcupscale/configuration/replication.py
+++ b/src/kingcupscale/configuration/replication.py
@@ -97,7 +97,7 @@
         A request may have been in transit for any time. Only a reply is known
         to be no older than the request that it answers.
         """
-        self.replica.withdraw(set(message.withdrawn_keys))
+        self.replica.mark_withdrawn(set(message.withdrawn_keys))
         self.replica.mark_leaving(set(message.leaving_servers))
         if message.revision > self.replica.revision and address:
             await self._pull(address)
@@ -122,7 +122,7 @@
 
     def _apply_message(self, message: peer_pb2.Changes) -> bool:
         batch = codec.decode(changes.Batch, message.batch)
-        has_new_keys = self.replica.withdraw(set(message.withdrawn_keys))
+        has_new_keys = self.replica.mark_withdrawn(set(message.withdrawn_keys))
         has_new_leaving = self.replica.mark_leaving(
             set(message.leaving_servers)
         )
@@ -157,7 +157,7 @@
         Returns:
             Names of the members that have the revision, this node first.
         """
-        reached = [self.members.me.name]
+        reached = [self.members.local_member.name]
         message = self._make_message(self.replica.revision - 1)
         limiter = trio.CapacityLimiter(MAX_CONCURRENT_PUSHES)
         async with trio.open_nursery() as nursery:
@@ -195,9 +195,9 @@
 
     def is_watcher(self) -> bool:
         """Returns whether this node is one of its zone's watchers."""
-        zone = self.members.me.zone
+        zone = self.members.local_member.zone
         ranked = self.members.ranked(f"watch/{zone}", zone)
-        return self.members.me in ranked[:WATCHERS_PER_ZONE]
+        return self.members.local_member in ranked[:WATCHERS_PER_ZONE]
 
     async def run(self) -> None:
         """Reads the store while a watcher, or if peers send no confirmation."""
@@ -220,7 +220,7 @@
         except calls.PlatformError as e:
             events.log(
                 events.Event.STORE_FAILED,
-                node=self.members.me.name,
+                node=self.members.local_member.name,
                 reason=e.reason,
             )
             await self.clock.sleep(RETRY_INTERVAL_S * (1 + self.rng.random()))
@@ -266,7 +266,7 @@
             if vm.state is vmlist.VmState.LEAVING and not vm.node
         }
         if self.replica.mark_leaving(leaving):
-            await self.push(self.members.me.zone)
+            await self.push(self.members.local_member.zone)
 
     async def catch_up(self) -> None:
         """Waits until the replica is current enough to become ready.
--- a/src/kingcupscale/daemon.py
+++ b/src/kingcupscale/daemon.py
@@ -108,7 +108,7 @@
                 get_limits,
                 node.stopped.wait,
             )
-            peers = node.members.me.address
+            peers = node.members.local_member.address
             self.addresses = Addresses(callers, operators, peers)
             task_status.started(self.addresses)
             await node.run()
--- a/src/kingcupscale/duties/candidates.py
+++ b/src/kingcupscale/duties/candidates.py
@@ -21,4 +21,4 @@
         members: The cluster members known to this node.
         zone: Availability zone whose nodes are preferred; empty for any.
     """
-    return members.me in members.ranked(duty, zone)[:MAX_CANDIDATES]
+    return members.local_member in members.ranked(duty, zone)[:MAX_CANDIDATES]
--- a/src/kingcupscale/operating/api.py
+++ b/src/kingcupscale/operating/api.py
@@ -198,7 +198,7 @@
                 errors.ResultCode.ROUTE_UNKNOWN,
                 f"no entry {path} in the configuration or its recent changes",
             )
-        return message.json_response(await self.editor.confirm())
+        return message.json_response(await self.editor.push_newest())
 
     async def _drain(
         self, _: message.Request, operator: str
--- a/src/kingcupscale/operating/handover.py
+++ b/src/kingcupscale/operating/handover.py
@@ -62,7 +62,7 @@
             )
         return messages.HandoverResponse(
             self.clock.now(),
-            self.members.me.name,
+            self.members.local_member.name,
             self.replica.revision,
             self._changes(),
             unfinished,
@@ -125,12 +125,12 @@
         return lines
 
     async def _open_orders(self) -> list[str]:
-        answer = await self.store.scan(journals.PREFIX)
+        response = await self.store.scan(journals.PREFIX)
         return [
             f"order {order.order_id[:8]} ({order.kind} {order.target}) of"
             f" {entry.key.removeprefix(journals.PREFIX)} has no outcome since"
             f" {order.at}"
-            for entry in answer.entries
+            for entry in response.entries
             for order in codec.decode(
                 journals.JournalRecord, entry.value
             ).orders
@@ -138,9 +138,9 @@
         ]
 
     async def _leases(self) -> list[str]:
-        answer = await self.store.scan(leases.PREFIX)
+        response = await self.store.scan(leases.PREFIX)
         lines = []
-        for entry in answer.entries:
+        for entry in response.entries:
             record = codec.decode(leases.LeaseRecord, entry.value)
             name = entry.key.removeprefix(leases.PREFIX)
             holder = record.holder or "nobody"
@@ -148,11 +148,11 @@
         return lines
 
     async def _unreported_usage(self) -> list[str]:
-        answer = await self.store.scan(reporting.PREFIX)
+        response = await self.store.scan(reporting.PREFIX)
         return [
             f"shard {entry.key.removeprefix(reporting.PREFIX)} window"
             f" {window.window} is not reported"
-            for entry in answer.entries
+            for entry in response.entries
             for window in codec.decode(reporting.Ledger, entry.value).windows
             if not window.sent
         ]
--- a/src/kingcupscale/peering/gossip.py
+++ b/src/kingcupscale/peering/gossip.py
@@ -144,9 +144,9 @@
         return others[self.probe_order.pop()] if self.probe_order else None
 
     def _neighbours(self) -> list[membership.Member]:
-        me = self.members.me.name
-        ranked = self.members.ranked(f"neighbours/{me}")
-        return [m for m in ranked if m.name != me][:MAX_NEIGHBOURS]
+        own_name = self.members.local_member.name
+        ranked = self.members.ranked(f"neighbours/{own_name}")
+        return [m for m in ranked if m.name != own_name][:MAX_NEIGHBOURS]
 
     async def join(self) -> bool:
         """Requests the whole table from a few seeds.
@@ -154,7 +154,9 @@
         Returns:
             Whether any of them replied.
         """
-        seeds = [s for s in self.seeds if s != self.members.me.address]
+        seeds = [
+            s for s in self.seeds if s != self.members.local_member.address
+        ]
         asked = self.rng.sample(seeds, min(MAX_JOIN_SEEDS, len(seeds)))
         results = [await self.exchange(seed, full=True) for seed in asked]
         return any(results)
@@ -186,12 +188,14 @@
         else:
             entries = self.members.take_updates(MAX_UPDATES_PER_MESSAGE)
         message = peer_pb2.Gossip(
-            sender=self.members.me.name,
+            sender=self.members.local_member.name,
             full=full,
             members=[entry.to_proto() for entry in entries],
         )
-        if not any(entry.name == self.members.me.name for entry in entries):
-            message.members.append(self.members.me.to_proto())
+        if not any(
+            entry.name == self.members.local_member.name for entry in entries
+        ):
+            message.members.append(self.members.local_member.to_proto())
         for handler in self.payload_handlers:
             handler.write_payload(message)
         return message
--- a/src/kingcupscale/peering/members.py
+++ b/src/kingcupscale/peering/members.py
@@ -80,7 +80,7 @@
     """All members known to one node, itself included.
 
     Args:
-        me: The node's own entry.
+        local_member: The node's own entry.
         clock: Source of monotonic time.
         suspicion_s: Time within which a suspect has to refute the suspicion,
             in seconds. Then it is marked as dead.
@@ -95,14 +95,16 @@
     """
 
     def __init__(
-        self, me: Member, clock: clocks.Clock, suspicion_s: float
+        self, local_member: Member, clock: clocks.Clock, suspicion_s: float
     ) -> None:
-        self.me = me
+        self.local_member = local_member
         self.clock = clock
         self.suspicion_s = suspicion_s
-        self.entries: dict[str, Member] = {me.name: me}
-        self.changed_at: dict[str, float] = {me.name: clock.monotonic()}
-        self.send_counts: dict[str, int] = {me.name: 0}
+        self.entries: dict[str, Member] = {local_member.name: local_member}
+        self.changed_at: dict[str, float] = {
+            local_member.name: clock.monotonic()
+        }
+        self.send_counts: dict[str, int] = {local_member.name: 0}
         self.not_alive: set[str] = set()
         self.listeners: list[Callable[[Member], None]] = []
         # Cached until the table changes, because every tick reads them.
@@ -120,7 +122,7 @@
 
     def others(self) -> list[Member]:
         """Returns the alive and suspect members other than this node."""
-        return [m for m in self.alive() if m.name != self.me.name]
+        return [m for m in self.alive() if m.name != self.local_member.name]
 
     def dead(self) -> list[Member]:
         """Returns the members with the status ``DEAD``."""
@@ -154,7 +156,7 @@
             Whether the table has a newer state of a member than before. An
             unknown member that is dead or has left does not count.
         """
-        if update.name == self.me.name:
+        if update.name == self.local_member.name:
             return self._refute(update)
         known = self.entries.get(update.name)
         if known is not None and not update.supersedes(known):
@@ -175,10 +177,13 @@
         self.not_alive.add(member.name)
 
     def _refute(self, update: Member) -> bool:
-        if not update.supersedes(self.me) or self.me.status == LEFT:
+        if (
+            not update.supersedes(self.local_member)
+            or self.local_member.status == LEFT
+        ):
             return False
         incarnation = update.incarnation + 1
-        self._set(attrs.evolve(self.me, incarnation=incarnation))
+        self._set(attrs.evolve(self.local_member, incarnation=incarnation))
         return True
 
     def _set(self, member: Member) -> None:
@@ -187,8 +192,8 @@
         self._update_indexes(member)
         self.changed_at[member.name] = self.clock.monotonic()
         self.send_counts[member.name] = 0
-        if member.name == self.me.name:
-            self.me = member
+        if member.name == self.local_member.name:
+            self.local_member = member
         if before is None or before.status != member.status:
             self._notify(member)
 
@@ -203,7 +208,7 @@
     def _notify(self, member: Member) -> None:
         events.log(
             events.Event.MEMBER_CHANGED,
-            node=self.me.name,
+            node=self.local_member.name,
             member=member.name,
             status=peer_pb2.Status.Name(member.status),
             incarnation=member.incarnation,
@@ -219,7 +224,7 @@
 
     def leave(self) -> None:
         """Marks this node as having left, which is a planned stop."""
-        self._set(attrs.evolve(self.me, status=LEFT))
+        self._set(attrs.evolve(self.local_member, status=LEFT))
 
     def expire(self) -> None:
         """Marks expired suspects as dead and removes old departed members."""
@@ -233,7 +238,7 @@
                 self._remove(member.name)
 
     def _remove(self, name: str) -> None:
-        if name != self.me.name:
+        if name != self.local_member.name:
             del self.entries[name], self.changed_at[name]
             self.send_counts.pop(name, None)
             self.not_alive.discard(name)
--- a/src/kingcupscale/usage/counterreplication.py
+++ b/src/kingcupscale/usage/counterreplication.py
@@ -58,8 +58,8 @@
 
     def replica_holders(self) -> list[membership.Member]:
         """Returns the members that hold replicas of this node's counters."""
-        ranked = self.members.ranked(f"usage/{self.members.me.name}")
-        others = [m for m in ranked if m.name != self.members.me.name]
+        ranked = self.members.ranked(f"usage/{self.members.local_member.name}")
+        others = [m for m in ranked if m.name != self.members.local_member.name]
         return others[:REPLICA_COUNT]
 
     async def run(self) -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -106,8 +106,8 @@
     async def test_node_refutes_its_own_death(self):
         members = make_members("me")
         members.merge(make_member("me", 1, membership.DEAD))
-        self.assertEqual(members.me.status, membership.ALIVE)
-        self.assertEqual(members.me.incarnation, 2)
+        self.assertEqual(members.local_member.status, membership.ALIVE)
+        self.assertEqual(members.local_member.incarnation, 2)
 
     @virtual.on_virtual_time
     async def test_outdated_update_does_not_revive_a_dead_member(self):
