--- a/src/kingcupscale/capacity/autoscaler.py
+++ b/src/kingcupscale/capacity/autoscaler.py
@@ -146,7 +146,7 @@
     Attributes:
         demand: Recent demand for the service.
         ordered: Number in the last accepted order, by zone.
-        retry_at: Monotonic time of the next order allowed, by zone.
+        retry_at: Monotonic time from which a zone may get orders again.
         initial: Number of ready servers when the first were found; the total
             does not fall below it.
     """
--- a/src/kingcupscale/node.py
+++ b/src/kingcupscale/node.py
@@ -356,8 +356,8 @@
 
         The node reports that it is not ready, refuses new requests, cancels
         its rollouts and waits for open requests, up to the drain limit. Then it
-        releases its leases, replicates its usage counters and leaves the
-        membership.
+        releases its leases, replicates its usage counters and announces to its
+        peers that it leaves.
         """
         timings = self.settings.timings
         events.log(events.Event.NODE_DRAINING, node=self.settings.name)
--- a/src/kingcupscale/providers/keyvalue.py
+++ b/src/kingcupscale/providers/keyvalue.py
@@ -192,8 +192,8 @@
         lease_s: Seconds after which the store removes the entry, if any.
 
     Raises:
-        calls.PlatformError: If every attempt fails, so that the outcome stays
-            unknown.
+        calls.PlatformError: If every attempt fails; with ``may_have_run`` the
+            outcome is unknown.
     """
     may_have_run = False
     reason = ""
