--- a/bench/filters.py
+++ b/bench/filters.py
@@ -117,9 +117,9 @@
 
 
 def _time_lookups(index: set[str] | BloomFilter, keys: list[str]) -> tuple:
-    start = time.perf_counter()
+    started_at = time.perf_counter()
     found = sum(key in index for key in keys)
-    elapsed = time.perf_counter() - start
+    elapsed = time.perf_counter() - started_at
     return round(1e6 * elapsed / len(keys), 2), found
 
 
@@ -211,9 +211,9 @@
         if number % INDEX_INTERVAL == 0 and way != "no index (rendezvous)":
             fleet.rebuild_indexes(false_positives)
         prefix = fleet.draw_prefix()
-        start = time.perf_counter()
+        started_at = time.perf_counter()
         name = choose(prefix)
-        spent_s += time.perf_counter() - start
+        spent_s += time.perf_counter() - started_at
         hit = fleet.serve(name, prefix)
         if number >= REQUESTS // 2:
             hits += hit
--- a/bench/peering.py
+++ b/bench/peering.py
@@ -126,9 +126,9 @@
     for streams in range(1, CHANGES + 1):
         tables = dict(deployment.tables["organisations"])
         tables["customer-2"] = {"label": "org-customer-2", "streams": streams}
-        start = time.monotonic()
+        started_at = time.monotonic()
         response = await operator.apply({"organisations": tables}, "bench")
-        times.append(time.monotonic() - start)
+        times.append(time.monotonic() - started_at)
         accepted = orjson.loads(response.body)
         if len(accepted["in_force"]) < len(deployment.nodes):
             raise RuntimeError(response.body.decode())
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -149,7 +149,7 @@
 
     async def _measure_tokens(self, idle: float, request_s: float) -> float:
         before = processes.cpu_s(self.pid)
-        start = time.monotonic()
+        started_at = time.monotonic()
         requests = [
             _node_request(10**6 + n, self.key, LONG_TOKENS, True)
             for n in range(STREAMS * 20)
@@ -160,7 +160,7 @@
             await self._call(self.node, batch, STREAMS)
             tokens += sum(map(_count_tokens, self.bodies))
         used_s = processes.cpu_s(self.pid) - before
-        used_s -= idle * (time.monotonic() - start)
+        used_s -= idle * (time.monotonic() - started_at)
         used_s -= request_s * len(requests)
         return 1e6 * used_s / max(1, tokens)
 
@@ -174,9 +174,9 @@
     async def _time_calls(
         self, call: Callable[[int, int], Awaitable[list[float]]]
     ) -> float:
-        start = time.monotonic()
+        started_at = time.monotonic()
         await call(REQUESTS, CONCURRENCY)
-        return time.monotonic() - start
+        return time.monotonic() - started_at
 
     async def _call_relay(
         self, count: int, concurrency: int = 1
@@ -201,13 +201,13 @@
         async def run_worker() -> None:
             while pending:
                 request = pending.pop()
-                start = time.monotonic()
+                started_at = time.monotonic()
                 response = await httpclient.fetch(
                     self.http_client, address, request, TIMEOUT_S
                 )
                 if response.status != 200:
                     raise RuntimeError(response.body.decode())
-                times.append(1000 * (time.monotonic() - start))
+                times.append(1000 * (time.monotonic() - started_at))
                 self.bodies.append(response.body)
 
         async with trio.open_nursery() as nursery:
@@ -269,7 +269,7 @@
     ):
         relay = f"127.0.0.1:{deployments.free_ports(1)[0]}"
         engine_address = deployment.engine_addresses()[0]
-        with processes.started("bench.relay", relay, engine_address):
+        with processes.run_module("bench.relay", relay, engine_address):
             time.sleep(RELAY_START_S)
             report = trio.run(Comparison(deployment, relay).run)
     values = attrs.asdict(report)
--- a/bench/virtualfleet.py
+++ b/bench/virtualfleet.py
@@ -126,7 +126,7 @@
 async def _time_change(
     cluster: clusters.Cluster, organisation: str, streams: int
 ) -> float:
-    start = trio.current_time()
+    started_at = trio.current_time()
     cluster.nursery.start_soon(_apply_change, cluster, organisation, streams)
     await _wait_until(
         cluster,
@@ -134,7 +134,7 @@
             document.organisations[organisation].streams == streams
         ),
     )
-    return trio.current_time() - start
+    return trio.current_time() - started_at
 
 
 async def _apply_change(
@@ -149,12 +149,12 @@
 
 
 async def _time_withdrawal(cluster: clusters.Cluster) -> float:
-    start = trio.current_time()
+    started_at = trio.current_time()
     key_id = cluster.issued[0].key_id
     operator = cluster.operator("node-2")
     cluster.nursery.start_soon(operator.withdraw, key_id, "bench")
     await _wait_until(cluster, lambda document: key_id not in document.keys)
-    return trio.current_time() - start
+    return trio.current_time() - started_at
 
 
 async def _wait_until(cluster: clusters.Cluster, is_met) -> None:
@@ -181,17 +181,17 @@
     names = cluster.node_names()
     count = max(1, min(NODES_PER_RACK, len(names) // 4))
     failed = names[2 :: max(1, len(names) // count)][:count]
-    start = trio.current_time()
+    started_at = trio.current_time()
     cluster.network.on_crash = lambda _: None
     for name in failed:
         cluster.network.crash(name)
     await _time_change(cluster, "customer-2", 13)
     await _time_change(cluster, "customer-1", 14)
-    change_s = trio.current_time() - start
+    change_s = trio.current_time() - started_at
     with trio.move_on_after(PROPAGATION_LIMIT_S):
         while not _is_detected_by_all(cluster, set(failed)):
             await trio.sleep(POLL_S)
-        return change_s, round(trio.current_time() - start, 2)
+        return change_s, round(trio.current_time() - started_at, 2)
     return change_s, None
 
 
