--- a/src/kingcupscale/web/message.py
+++ b/src/kingcupscale/web/message.py
@@ -32,7 +32,7 @@
         before_send: Called after the connection is open and right before the
             first byte is sent; raises to prevent that.
         connect_timeout_s: Timeout of opening the connection; None for the
-            timeout of the whole request.
+            timeout that the request is sent with.
     """
 
     method: str
--- a/src/kingcupscale/web/server.py
+++ b/src/kingcupscale/web/server.py
@@ -51,7 +51,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_cancel_on_disconnect, nursery, receive)
             handled = await run_handler(self.handler, request)
-            await _send_headers(handled, send)
+            await _send_all_but_last_chunk(handled, send)
             response = handled
             nursery.cancel_scope.cancel()
         # hypercorn also reports a disconnect when it completes a response, so
@@ -147,12 +147,14 @@
 
 
 async def _send_response(response: message.Response, send: Any) -> None:
-    await _send_headers(response, send)
+    await _send_all_but_last_chunk(response, send)
     await _send_body(send, response.body, more=False)
 
 
-async def _send_headers(response: message.Response, send: Any) -> None:
-    """Sends the headers, and the body if it is streamed.
+async def _send_all_but_last_chunk(
+    response: message.Response, send: Any
+) -> None:
+    """Sends the headers and, if the body is streamed, its chunks.
 
     The caller sends the last chunk: the whole body if it is not streamed, or
     an empty chunk.
--- a/tests/platform/fakeservers.py
+++ b/tests/platform/fakeservers.py
@@ -144,7 +144,7 @@
         self.versions[order["model"]] = order["version"]
         self.loading = ""
 
-    def head(self, request):
+    def response_headers(self, request):
         return {
             names.REQUEST_ID: request.headers[names.REQUEST_ID],
             names.SIGNATURE: f"signed-{request.headers[names.REQUEST_ID]}",
@@ -175,9 +175,9 @@
         self.site.runs.append(run)
         status = self.statuses.pop(0) if self.statuses else 200
         if status != 200:
-            return message.Response(status, self.head(request))
+            return message.Response(status, self.response_headers(request))
         if model:
-            headers = self.head(request)
+            headers = self.response_headers(request)
             headers[names.WEIGHT_VERSION] = str(version)
             return message.Response(200, headers, chunks=self.stream(run))
         self.running.add(run.request)
@@ -186,7 +186,9 @@
         finally:
             self.running.discard(run.request)
         run.is_complete = True
-        return message.Response(200, self.head(request), b"the answer")
+        return message.Response(
+            200, self.response_headers(request), b"the answer"
+        )
 
     async def stream(self, run):
         self.running.add(run.request)
