--- a/src/kingcupscale/capacity/autoscaler.py
+++ b/src/kingcupscale/capacity/autoscaler.py
@@ -20,9 +20,9 @@
 from kingcupscale.fleet import registry
 from kingcupscale.storage import locks
 
-# Delay before another order for a zone that refused one.
+# Delay before the next order for a zone after a refused one.
 REFUSED_RETRY_DELAY_S = 2.0
-# Delay before another order for a zone if the outcome of one is unknown.
+# Delay before the next order for a zone after one whose outcome is unknown.
 FAILED_RETRY_DELAY_S = 0.7
 # Length of the sliding window for the peak. It spans several training steps,
 # so that the number of servers does not change with each step.
@@ -49,7 +49,7 @@
     Attributes:
         service: The service.
         zone: The availability zone.
-        number: The desired number of servers of this kind.
+        number: The desired number of servers of this kind, spot or not.
         is_spot: Whether the provider may reclaim the servers.
     """
 
@@ -76,13 +76,13 @@
 ) -> dict[str, int]:
     """Distributes servers over the zones, the cheapest zones first.
 
-    Each zone gets the minimum; the rest is added in turn, one server per zone,
-    up to the maximum.
+    Each zone gets the minimum, also an unavailable one. The rest is added in
+    turn, one server per available zone, up to the maximum.
 
     Args:
         scaling: Minimum and maximum per zone, and the zones' prices.
         total: Desired number of servers in all zones.
-        unavailable: Zones that take no orders at present.
+        unavailable: Zones in which no servers can be ordered at present.
 
     Returns:
         The desired number of servers by zone.
@@ -145,10 +145,11 @@
 
     Attributes:
         demand: Recent demand for the service.
-        ordered: Number in the last accepted order, by zone.
+        ordered: Number in the last accepted order, by zone; absent after a
+            refused order.
         retry_at: Monotonic time from which a zone may get orders again.
-        initial: Number of ready servers when the first were found; the total
-            does not fall below it.
+        initial_servers: Number of ready servers when the first were found; the
+            total does not fall below it.
     """
 
     def __init__(
@@ -169,7 +170,7 @@
         self.get_catalogue = get_catalogue
         self.ordered: dict[str, int] = {}
         self.retry_at: dict[str, float] = {}
-        self.initial = 0
+        self.initial_servers = 0
 
     async def run_once(self) -> None:
         """Records the present demand and orders missing servers."""
@@ -184,9 +185,11 @@
             if server.entry.state is registry.ServerState.READY
         ]
         self.demand.record(now, self.get_demand())
-        if not self.initial:
-            self.initial = len(present)
-        total = max(self.initial, self.demand.required_servers(service.slots))
+        if not self.initial_servers:
+            self.initial_servers = len(present)
+        total = max(
+            self.initial_servers, self.demand.required_servers(service.slots)
+        )
         unavailable = {z for z, until in self.retry_at.items() if until > now}
         wanted = wanted_by_zone(service.scaling, total, unavailable)
         for zone, number in wanted.items():
--- a/src/kingcupscale/capacity/scaling.py
+++ b/src/kingcupscale/capacity/scaling.py
@@ -8,7 +8,10 @@
 
 from kingcupscale.configuration import document
 
+# The load is high above this utilisation, or if the expected queueing time
+# exceeds half of the latency target.
 BUSY_UTILISATION = 0.8
+# The load is low below this utilisation, unless the queueing time is too long.
 IDLE_UTILISATION = 0.3
 SCALE_UP_AFTER_S = 5.0
 SCALE_DOWN_AFTER_S = 60.0
@@ -16,12 +19,13 @@
 
 @attrs.frozen
 class ServiceLoad:
-    """The load of a service in a zone.
+    """The load of a service, and its ordered servers in a zone.
 
     Attributes:
-        utilisation: Mean fraction of the servers' slots in use.
+        utilisation: Mean fraction of the slots in use, over the servers of all
+            zones.
         wait_s: Expected queueing time, in seconds.
-        ordered: Ordered servers that are not draining.
+        ordered: Ordered servers of the zone that are not draining.
     """
 
     utilisation: float
--- a/src/kingcupscale/capacity/zone.py
+++ b/src/kingcupscale/capacity/zone.py
@@ -26,7 +26,7 @@
         self.servers = servers
 
     async def take_over(self) -> None:
-        """Sends the open orders of the previous lease holder again."""
+        """Logs the open orders of earlier lease holders and resends them."""
         for order in await self.order_sender.journal.open():
             events.log(
                 events.Event.ORDER_RECONCILED,
@@ -55,9 +55,9 @@
         engines = [o for o in pending if o.kind == activation.ORDER_KIND]
         others = [o for o in pending if o.kind == zonescaler.ORDER_KIND]
         if engines:
-            completed = await self.order_sender.send_orders(
+            results = await self.order_sender.send_orders(
                 engines, self.weights.send
             )
-            await self.order_sender.mark_failed(completed)
+            await self.order_sender.mark_failed(results)
         if others:
             await self.order_sender.send_orders(others, self.servers.send)
--- a/src/kingcupscale/capacity/zonescaler.py
+++ b/src/kingcupscale/capacity/zonescaler.py
@@ -59,9 +59,9 @@
         self.draining: dict[str, float] = {}
 
     async def run_once(self) -> None:
-        """Starts, drains and stops servers of all services that are scaled."""
-        services_ = self.pools.replica.document.services
-        scaled = {n: s for n, s in services_.items() if s.scaling}
+        """Starts, drains and stops servers of all services with scaling."""
+        configured = self.pools.replica.document.services
+        scaled = {n: s for n, s in configured.items() if s.scaling}
         if not scaled or self.zone not in self.pools.replica.document.zones:
             return
         listed = (await self.provider.list(self.zone)).servers
--- a/src/kingcupscale/codec.py
+++ b/src/kingcupscale/codec.py
@@ -132,9 +132,9 @@
 def make_wire_converter() -> cattrs.Converter:
     """Returns a converter for messages between nodes and for stored data.
 
-    Bytes are encoded as base64, since its encoder is written in C. Data in
-    base 85 from nodes of an earlier release is decoded too; these nodes reject
-    data in base64.
+    Bytes are encoded as base64, since its encoder is written in C, unlike that
+    of base 85. Data in base 85 from nodes of an earlier release is decoded too;
+    these nodes reject data in base64.
     """
     converter = cattrs.preconf.orjson.make_converter()
     converter.register_unstructure_hook(bytes, _unstructure_bytes)
@@ -172,6 +172,8 @@
 _converter = _make_converter(is_strict=False)
 
 
+# Describes an exception as the found and the expected value, separated by a NUL
+# character. cattrs appends the path, and ``_to_mistake`` splits the result.
 def _describe(exception: BaseException, _: type | None) -> str:
     if isinstance(exception, _MismatchError):
         return f"{_abbreviate(exception.found)}\0{exception.expected}"
--- a/src/kingcupscale/deployment.py
+++ b/src/kingcupscale/deployment.py
@@ -8,7 +8,9 @@
     """Time limits that the deployment requires, in seconds.
 
     Attributes:
-        contact_s: Time without a disturbance after which a node is healthy.
+        contact_s: Time without a disturbance after which a node is healthy;
+            also the time without an answer from other nodes after which a node
+            may count as isolated.
         drain_s: Time for which a leaving server continues to serve.
         grace_s: Time from the stop signal to the end of the process.
         apply_s: Time until a new configuration is in force.
@@ -42,10 +44,10 @@
         node: Name of the node.
         role: Name of the role that the process runs.
         zone: Availability zone of the node.
-        callers: ``host:port`` to listen at for callers; empty for none.
-        readiness: ``host:port`` to listen at for readiness probes; empty for
+        callers: ``host:port`` to listen on for callers; empty for none.
+        readiness: ``host:port`` to listen on for readiness probes; empty for
             none.
-        peers: ``host:port`` to listen at for other nodes; empty for none.
+        peers: ``host:port`` to listen on for other nodes; empty for none.
         store: ``host:port`` of the shared store.
         cloud: ``host:port`` of the API for server orders and usage reports.
         seeds: Addresses of the first peers to contact.
--- a/src/kingcupscale/logs.py
+++ b/src/kingcupscale/logs.py
@@ -15,8 +15,8 @@
 
 from kingcupscale import clock as clocks
 
-# Longer lines are cut, as only a short line is written to a pipe as a whole
-# or not at all (up to PIPE_BUF, 4096 bytes on Linux).
+# Longer lines are cut. A write to a pipe of at most PIPE_BUF bytes (4096 on
+# Linux) is done as a whole or not at all; a longer one may be done in part.
 MAX_LINE_BYTES = 4000
 MAX_LINES_PER_S = 150.0
 MAX_BURST_LINES = 600.0
--- a/src/kingcupscale/metrics.py
+++ b/src/kingcupscale/metrics.py
@@ -9,7 +9,7 @@
 import hdrh.histogram
 import statsd
 
-# Largest value recorded; for times, an hour in milliseconds.
+# Larger values are recorded as this one; for times, an hour in milliseconds.
 MAX_VALUE = 3_600_000
 SIGNIFICANT_DIGITS = 2
 MAX_HISTOGRAMS = 512
@@ -63,7 +63,7 @@
         self.counts: dict[str, int] = {}
 
     def count(self, name: str, number: int = 1) -> None:
-        """Increments the counter of a dotted name."""
+        """Adds a number to the counter of a dotted name."""
         self.counts[name] = self.counts.get(name, 0) + number
         if self.client is not None:
             self.client.incr(name, number)
@@ -75,7 +75,11 @@
         measure: Measure,
         value: float,
     ) -> None:
-        """Adds a value to a histogram; ignores it above ``MAX_HISTOGRAMS``."""
+        """Adds a value to a histogram.
+
+        The value is ignored if it needs a new histogram and there are already
+        ``MAX_HISTOGRAMS``.
+        """
         key = (organisation, service_class, measure)
         histogram = self.histograms.get(key)
         if histogram is None:
@@ -91,7 +95,10 @@
             self.client.timing(name, value)
 
     def summaries(self) -> list[Summary]:
-        """Returns the statistics of all histograms, sorted by name."""
+        """Returns the statistics of all histograms.
+
+        They are sorted by organisation, service class and measure.
+        """
         ordered = sorted(
             self.histograms.items(),
             key=lambda item: (item[0][0], item[0][1], item[0][2].value),
--- a/src/kingcupscale/node.py
+++ b/src/kingcupscale/node.py
@@ -352,12 +352,12 @@
         return managed_lease
 
     async def _drain(self) -> None:
-        """Stops the node after open requests had time to finish.
+        """Stops the node after giving open requests time to finish.
 
-        The node reports that it is not ready, refuses new requests, cancels
-        its rollouts and waits for open requests, up to the drain limit. Then it
-        releases its leases, replicates its usage counters and announces to its
-        peers that it leaves.
+        The node reports that it is not ready. After the drain notice, it
+        refuses new requests, cancels its rollouts and waits for open requests,
+        up to the drain limit. Then it releases its leases, replicates the usage
+        counters and announces to its peers that it leaves.
         """
         timings = self.settings.timings
         events.log(events.Event.NODE_DRAINING, node=self.settings.name)
--- a/src/kingcupscale/providers/__init__.py
+++ b/src/kingcupscale/providers/__init__.py
@@ -1,5 +1,5 @@
 """HTTP clients of the platform's services and of the model engines.
 
-The rest of the code uses the clients through Protocols, so that tests can
-replace them.
+The client of each platform service implements a Protocol, so that the code
+that uses it does not depend on HTTP.
 """
--- a/src/kingcupscale/providers/calls.py
+++ b/src/kingcupscale/providers/calls.py
@@ -59,8 +59,8 @@
                 timeout.
 
         Raises:
-            PlatformError: If the call fails, or the response is not complete
-                and of the type.
+            PlatformError: If the call fails, or the response is incomplete or
+                does not match the type.
         """
         timeout_s = self.timeout_s + wait_s
         return await call(
@@ -85,8 +85,8 @@
         timeout_s: Timeout in seconds.
 
     Raises:
-        PlatformError: If the call fails, or the response is not complete and
-            of the type.
+        PlatformError: If the call fails, or the response is incomplete or does
+            not match the type.
     """
     try:
         response = await httpclient.fetch(
--- a/src/kingcupscale/providers/engine.py
+++ b/src/kingcupscale/providers/engine.py
@@ -1,4 +1,4 @@
-"""Messages and calls of the model engines: generation, orders and state."""
+"""Messages and calls of the model engines: generation, orders, state, load."""
 
 from collections.abc import Callable
 import enum
@@ -10,6 +10,7 @@
 from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
+# Response header in which an engine reports its load.
 LOAD_HEADER = "x-engine-load"
 REQUEST_ID_HEADER = "x-request-id"
 
@@ -26,7 +27,7 @@
         max_tokens: Maximum number of tokens, including ``resume``.
         priority: Requests of higher priority run first.
         chunk_tokens: Tokens per chunk.
-        resume: Tokens that another engine has already generated.
+        resume: Tokens that an earlier engine has already generated.
     """
 
     request_id: str
--- a/src/kingcupscale/providers/keyvalue.py
+++ b/src/kingcupscale/providers/keyvalue.py
@@ -42,7 +42,7 @@
     Attributes:
         key: The key, or the prefix.
         prefix: Whether ``key`` is a prefix.
-        after: Return only keys that sort after this one.
+        after: For a prefix, return only keys that sort after this one.
     """
 
     key: str
--- a/src/kingcupscale/providers/usageintake.py
+++ b/src/kingcupscale/providers/usageintake.py
@@ -36,7 +36,7 @@
 
     Attributes:
         shard: The shard of the organisations.
-        window: Number of the window; consecutive.
+        window: Number of the window; windows are numbered consecutively.
         epoch: Fencing token of the lease under which the report is sent.
         figures: One per organisation and service class, sorted.
     """
--- a/src/kingcupscale/providers/vmlist.py
+++ b/src/kingcupscale/providers/vmlist.py
@@ -21,7 +21,7 @@
     """A VM in the platform's list.
 
     Attributes:
-        address: ``host:port`` of the server on the VM.
+        address: ``host:port`` of the backend server or node on the VM.
         zone: The VM's availability zone.
         state: Whether the VM is live or leaving.
         node: Whether a node of this system runs on the VM.
--- a/src/kingcupscale/settings.py
+++ b/src/kingcupscale/settings.py
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class Listeners:
-    """Addresses that a node listens at, as ``host:port``.
+    """Addresses that a node listens on, as ``host:port``.
 
     For port 0 the system chooses a free port.
 
@@ -72,11 +72,13 @@
     Attributes:
         gossip_interval_s: Interval between gossip exchanges with peers.
         suspicion_s: Time that a suspected node has to refute the suspicion.
-        isolation_bound_s: Time without confirmation after which a node counts
-            as isolated, so that its admission is in doubt.
+        isolation_bound_s: Time without a confirmation that the configuration
+            is the newest, after which a node admits requests only while it has
+            contact with a majority of the nodes.
         lease_ttl_s: Time to live of a lease.
         lease_renew_s: Interval between renewals of a lease.
-        order_timeout_s: Longest time that an order may be in flight.
+        order_timeout_s: Longest time that an order or a usage report may be in
+            flight.
         usage_window_s: Length of a usage window.
         drain_notice_s: Time from the node reporting that it is not ready to
             the first refused request.
@@ -117,7 +119,7 @@
         name: Unique name of the node; it stays the same after a restart.
         zone: Availability zone of the node.
         region: Region of the zone.
-        listeners: Addresses that the node listens at.
+        listeners: Addresses that the node listens on.
         platform: Addresses of the platform's services.
         seeds: Peer listeners to contact in order to join, as ``host:port``.
         operators: Operator keys by name of the operator.
--- a/tests/test_embedding.py
+++ b/tests/test_embedding.py
@@ -21,10 +21,11 @@
             kingcupscale.Unknown  # noqa: B018
 
     def test_node_loads_no_unused_modules(self):
+        """A node on the platform uses no protobuf, so it must not load it."""
         program = (
             "import sys, kingcupscale.commands.serving;"
             "print([m for m in sys.modules if m.endswith('_pb2')])"
         )
-        words = [sys.executable, "-c", program]
-        printed = subprocess.run(words, capture_output=True, check=True)
-        self.assertEqual(printed.stdout.strip(), b"[]")
+        command = [sys.executable, "-c", program]
+        completed = subprocess.run(command, capture_output=True, check=True)
+        self.assertEqual(completed.stdout.strip(), b"[]")
