--- a/src/kingcupscale/configuration/admission.py
+++ b/src/kingcupscale/configuration/admission.py
@@ -17,10 +17,11 @@
     A revision is *confirmed* as of a time if a read of the store that began
     at that time, by this node or a peer, found nothing newer. A node admits
     requests while its last confirmation is recent enough. Otherwise it admits
-    only while it has recent contact with a majority of the nodes registered
-    in its configuration. A change is accepted only by a node that reaches
-    such a majority, so any change that this node missed is known to at least
-    one node that it can reach.
+    only while its membership table is current and lists as reachable a
+    majority of the nodes registered in its configuration. A change is accepted
+    only by a node that reaches such a majority, and two majorities share a
+    node, so any change that this node missed is known to at least one node
+    that it can reach.
 
     Args:
         replica: The node's replica of the configuration.
@@ -31,8 +32,9 @@
     Attributes:
         confirmed_at: Monotonic time as of which the revision is known to be
             the newest; None before the first confirmation.
-        contact_at: Monotonic time of the latest request to which a peer
-            replied that it had nothing newer; None before the first.
+        contact_at: Monotonic time of the latest request to a peer after whose
+            reply this node had the peer's revision or a newer one; None before
+            the first.
         ready: Whether the node has caught up since it started.
         last_admitting: The last result of ``is_admitting``, to log changes.
     """
@@ -62,13 +64,15 @@
         self.ready = self.ready or self.is_confirmed()
 
     def record_contact(self, at: float) -> None:
-        """Records that a peer, asked at a given time, had nothing newer."""
+        """Records that this node is up to date with a peer asked at a time."""
         self.contact_at = max(at, self.contact_at or at)
 
     def _has_fresh_contact(self) -> bool:
         """Returns whether the membership table is recent enough to rely on.
 
-        A process that was suspended still lists all members as alive.
+        A process that was suspended still lists all members as alive, so a
+        recent reply from a peer is required. A node needs none if no other
+        node is registered.
         """
         if self.replica.document.nodes.keys() <= {
             self.members.local_member.name
@@ -90,7 +94,10 @@
         return age is not None and age <= self.max_age_s
 
     def has_majority(self) -> bool:
-        """Returns whether a majority of the registered nodes is alive."""
+        """Returns whether a majority of the registered nodes is reachable.
+
+        These are the nodes that the membership table lists as alive or suspect.
+        """
         return self.is_majority({m.name for m in self.members.alive()})
 
     def is_majority(self, names: set[str]) -> bool:
@@ -126,7 +133,7 @@
         """Checks that the node may admit a request.
 
         Raises:
-            ServiceError: ``NOT_READY`` before the node has caught up,
+            ServiceError: ``NOT_READY`` until the node has caught up,
                 ``ISOLATED`` if its configuration may be outdated.
         """
         if self.is_admitting():
--- a/src/kingcupscale/configuration/change.py
+++ b/src/kingcupscale/configuration/change.py
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class Batch:
-    """An update of a replica: changes, after a snapshot if needed."""
+    """An update for a replica: a snapshot if it needs one, then changes."""
 
     snapshot: Snapshot | None
     changes: list[Change]
--- a/src/kingcupscale/configuration/document.py
+++ b/src/kingcupscale/configuration/document.py
@@ -1,4 +1,7 @@
-"""Typed tables of the configuration, and their flat form."""
+"""The tables of the configuration, as typed classes and as flat entries.
+
+A flat entry is the value of one table entry under the path ``table/name``.
+"""
 
 import enum
 from typing import Any
@@ -108,7 +111,7 @@
 
 @attrs.frozen
 class Scaling:
-    """Limits of the servers ordered for a service in each zone.
+    """Limits on the servers to order for a service in each zone.
 
     Attributes:
         service_class: The service class whose latency and cost targets apply.
--- a/src/kingcupscale/configuration/editor.py
+++ b/src/kingcupscale/configuration/editor.py
@@ -106,7 +106,8 @@
 
         Raises:
             ConflictError: If another operator changed the configuration since
-                the proposal's revision.
+                the proposal's revision, or if other writers took the next
+                revision ``MAX_ATTEMPTS`` times.
             ServiceError: ``CONFIGURATION_INVALID``, ``MAJORITY_LOST``,
                 ``STORE_UNAVAILABLE`` or ``CONFIGURATION_UNDECIDED``.
         """
@@ -233,7 +234,7 @@
         """Returns the result of a change that members have confirmed.
 
         Raises:
-            ServiceError: ``MAJORITY_LOST`` if they are no majority. The
+            ServiceError: ``MAJORITY_LOST`` if they are not a majority. The
                 change is written and will come into force, but partitioned
                 nodes may continue without it for now.
         """
@@ -243,8 +244,8 @@
             raise errors.ServiceError(
                 errors.ResultCode.MAJORITY_LOST,
                 f"revision {self.replica.revision} is written, but confirmed"
-                f" only by {', '.join(sorted(reached))}, which is no majority;"
-                " retry",
+                f" only by {', '.join(sorted(reached))}, which is not a"
+                " majority; retry",
                 errors.Run.RAN,
                 RETRY_AFTER_S,
             )
@@ -287,7 +288,7 @@
     async def run_maintenance(self) -> None:
         """Registers new nodes, removes lost nodes and withdrawn keys.
 
-        Only the watchers of a zone do this, for all nodes of the zone in one
+        Only the zone's watchers do this, for all nodes of the zone in one
         change. Otherwise nodes that start together would compete for each
         revision.
         """
--- a/src/kingcupscale/configuration/keys.py
+++ b/src/kingcupscale/configuration/keys.py
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class NewKey:
-    """A newly created key, as it is given to its owner once.
+    """A newly created key, as it is shown once to its owner.
 
     Attributes:
         key_id: The public part of the key.
@@ -116,5 +116,5 @@
         return self.replica.document.keys.get(key_id)
 
     def is_valid(self, grant: Grant) -> bool:
-        """Returns whether a grant still holds; a grant without a key does."""
+        """Returns whether a grant is valid; that of an open route always is."""
         return not grant.key_id or self.find(grant.key_id) is not None
--- a/src/kingcupscale/configuration/replica.py
+++ b/src/kingcupscale/configuration/replica.py
@@ -25,7 +25,8 @@
         withdrawn: Ids of keys withdrawn during a store outage; ids are never
             removed.
         leaving: Addresses of backend servers that are about to stop.
-        listeners: Called after every change.
+        listeners: Called after every change of the configuration, of
+            ``withdrawn`` or of ``leaving``.
     """
 
     def __init__(self, node: str) -> None:
--- a/src/kingcupscale/configuration/replication.py
+++ b/src/kingcupscale/configuration/replication.py
@@ -176,6 +176,10 @@
         limiter: trio.CapacityLimiter,
         reached: list[str],
     ) -> None:
+        """Pushes a message to one member, in two attempts.
+
+        If the member lacks earlier changes, the second attempt includes them.
+        """
         target = self.replica.revision
         async with limiter:
             for _ in range(2):
@@ -200,7 +204,10 @@
         return self.members.local_member in ranked[:WATCHERS_PER_ZONE]
 
     async def run(self) -> None:
-        """Reads the store while a watcher, or if peers send no confirmation."""
+        """Reads the store while this node is a watcher, until cancelled.
+
+        Another node reads it only if peers send no recent confirmation.
+        """
         while True:
             if self.is_watcher() or self._needs_confirmation():
                 await self._watch_once()
@@ -249,7 +256,10 @@
         self.admission.confirm(requested_at)
 
     async def run_vm_list_polling(self) -> None:
-        """Polls the VM list while a watcher, and pushes leaving servers."""
+        """Polls the VM list while this node is a watcher, until cancelled.
+
+        Pushes new leaving servers to the members of its zone.
+        """
         while True:
             if self.is_watcher():
                 await self._read_vm_list()
--- a/src/kingcupscale/operating/api.py
+++ b/src/kingcupscale/operating/api.py
@@ -21,7 +21,7 @@
 
 
 class OperatorApi:
-    """Serves operators; each one authenticates with their own key.
+    """Serves the operator API; each operator authenticates with their own key.
 
     Args:
         operators: Digests of the operators' keys, by operator name.
--- a/src/kingcupscale/operating/handover.py
+++ b/src/kingcupscale/operating/handover.py
@@ -128,8 +128,8 @@
         response = await self.store.scan(journals.PREFIX)
         return [
             f"order {order.order_id[:8]} ({order.kind} {order.target}) of"
-            f" {entry.key.removeprefix(journals.PREFIX)} has no outcome since"
-            f" {order.at}"
+            f" {entry.key.removeprefix(journals.PREFIX)} has had no outcome"
+            f" since {order.at}"
             for entry in response.entries
             for order in codec.decode(
                 journals.JournalRecord, entry.value
--- a/src/kingcupscale/operating/messages.py
+++ b/src/kingcupscale/operating/messages.py
@@ -14,7 +14,8 @@
     """A request to apply new tables of the configuration.
 
     Attributes:
-        tables: The new tables, as in the TOML file; other tables stay.
+        tables: The new tables, as in the TOML file; other tables stay
+            unchanged.
         if_revision: The revision that the change is based on.
         reason: Why the operator makes the change.
         without_majority: Accept the change although most nodes are
@@ -106,7 +107,7 @@
     Attributes:
         node: The node's name.
         zone: The node's availability zone.
-        incarnation: Incarnation of the node since its last start.
+        incarnation: Start time of the node's process, in milliseconds.
         admitting: Whether the node admits requests.
         draining: Whether the node is in a planned stop.
         revision: Revision of the configuration in force.
@@ -116,7 +117,7 @@
         queued: Number of queued requests by service.
         members: All members that the node knows.
         leases: Leases that the node holds.
-        histograms: Summaries by organisation and service class.
+        histograms: Summaries of the recorded histograms.
         counts: Counters by name.
     """
 
--- a/src/kingcupscale/peering/gossip.py
+++ b/src/kingcupscale/peering/gossip.py
@@ -1,4 +1,9 @@
-"""Gossip: failure detection and dissemination at a constant cost per node."""
+"""Gossip: failure detection and dissemination at a constant cost per node.
+
+Each node probes one member per interval, asks others to probe a member that
+does not reply, and gives a suspect time to refute, in the manner of SWIM.
+Probes also carry membership updates and the state of other components.
+"""
 
 import random
 from typing import Protocol
@@ -119,6 +124,10 @@
             self.members.suspect(member.name)
 
     async def _reconnect(self) -> None:
+        """Exchanges whole tables with a seed or dead member, if any.
+
+        This reconnects the parts of a cluster after a network partition.
+        """
         known = {m.address for m in self.members.alive()}
         dead = [m.address for m in self.members.dead()]
         targets = [a for a in [*self.seeds, *dead] if a not in known]
@@ -210,6 +219,7 @@
 
     async def _handle_gossip(self, request: peer_pb2.Gossip) -> peer_pb2.Gossip:
         known = self.members.entries.get(request.sender)
+        # A node that starts or returns needs the whole table.
         is_new = known is None or known.status == membership.DEAD
         sender = next(
             (m for m in request.members if m.name == request.sender), None
@@ -232,6 +242,10 @@
             reply.members.append(known.to_proto())
 
     async def _probe_indirectly(self, target: membership.Member) -> bool:
+        """Returns whether another member can reach one that did not reply.
+
+        A single failed link must not make a member suspect.
+        """
         relays = [m for m in self.members.others() if m.name != target.name]
         relays = self.rng.sample(relays, min(INDIRECT_PROBES, len(relays)))
         request = peer_pb2.ProbeRequest(address=target.address)
@@ -264,7 +278,7 @@
         return peer_pb2.ProbeReply(reached=reached)
 
     async def leave(self) -> None:
-        """Marks this node as leaving and sends this to a few members."""
+        """Marks this node as having left and announces it to a few members."""
         self.members.leave()
         others = self.members.others()
         for member in self.rng.sample(others, min(3, len(others))):
--- a/src/kingcupscale/peering/grpctransport.py
+++ b/src/kingcupscale/peering/grpctransport.py
@@ -42,7 +42,11 @@
         request: Any,
         timeout_s: float,
     ) -> Any:
-        """Returns the reply of the node at an address."""
+        """Returns the reply of the node at an address.
+
+        Raises:
+            PeerError: If the call fails or exceeds its timeout.
+        """
         multicallable = self._channel(address).unary_unary(
             f"/{SERVICE}/{method.name}",
             request_serializer=method.request.SerializeToString,
--- a/src/kingcupscale/peering/members.py
+++ b/src/kingcupscale/peering/members.py
@@ -47,7 +47,7 @@
     def supersedes(self, other: "Member") -> bool:
         """Returns whether this entry is newer than another one.
 
-        Within an incarnation, the higher status is newer.
+        Within an incarnation, the order is alive, suspect, dead, left.
         """
         mine = (self.incarnation, self.status)
         return mine > (other.incarnation, other.status)
@@ -153,8 +153,8 @@
             update: The entry received.
 
         Returns:
-            Whether the table has a newer state of a member than before. An
-            unknown member that is dead or has left does not count.
+            Whether the table changed, not counting the addition of an unknown
+            member that is dead or has left.
         """
         if update.name == self.local_member.name:
             return self._refute(update)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -335,6 +335,7 @@
                 "customer-1-key", "test", emergency=True
             )
             self.assertEqual(response.status, 200)
+            # Node 5 reaches only node 4, and neither knows the withdrawal.
             cluster.start_node("node-5")
             for _ in range(100):
                 await trio.sleep(0.1)
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -1,4 +1,4 @@
-"""The operator API: handover report, status, and no secrets in either."""
+"""The operator API and its reports; no secrets in responses or logs."""
 
 import unittest
 
