--- a/src/kingcupscale/capacity/autoscaler.py
+++ b/src/kingcupscale/capacity/autoscaler.py
@@ -4,8 +4,8 @@
 zones and sends orders to the provider. Load comes in training steps, and all
 spot servers of a zone may be reclaimed at once. A few spare servers cost
 little, while a missing one delays whole steps. So more servers are kept than
-the present demand requires, and servers lost in a zone are ordered in the
-other zones at once.
+the present demand requires, and after a failed order in a zone the servers
+missing there are ordered in the other zones without delay.
 """
 
 from collections.abc import Callable
