--- a/src/kingcupscale/configuration/replication.py
+++ b/src/kingcupscale/configuration/replication.py
@@ -282,8 +282,8 @@
         """Waits until the replica is current enough to become ready.
 
         Reading the store is sufficient. While the store cannot be reached,
-        gossip with a majority of the registered nodes is sufficient too, if
-        the node has any revision afterwards.
+        gossip with a majority of the registered nodes, not counting this one,
+        is sufficient too, if the node has any revision afterwards.
         """
         while not self.admission.ready:
             await self.gossip.join()
