--- a/src/kingcupscale/rollouts/activation.py
+++ b/src/kingcupscale/rollouts/activation.py
@@ -1,4 +1,4 @@
-"""Rolls out published weight versions to the engines of an availability zone.
+"""Deploys published weight versions to the engines of an availability zone.
 
 Owns a zone's view of its engines and decides when each engine stages (loads)
 and activates a version.
@@ -160,7 +160,11 @@
         self._expire_staging(status)
 
     def _expire_staging(self, status: EngineStatus) -> None:
-        """Drops completed staging orders, and lost ones to send them again."""
+        """Drops staging orders that are completed or have to be sent again.
+
+        They are sent again after ``STAGE_RETRY_S`` or if the engine did not
+        respond.
+        """
         oldest = self.clock.monotonic() - STAGE_RETRY_S
         status.staging = {
             trainer: staging
--- a/src/kingcupscale/rollouts/messages.py
+++ b/src/kingcupscale/rollouts/messages.py
@@ -158,7 +158,7 @@
 
     Attributes:
         groups: Groups that the trainer has not received.
-        remaining: Number of groups missing after these.
+        remaining: Number of groups left to fetch after these.
     """
 
     groups: list[Group]
--- a/src/kingcupscale/rollouts/publication.py
+++ b/src/kingcupscale/rollouts/publication.py
@@ -29,7 +29,8 @@
         service: The engine service that runs the weights.
         version: The weight version.
         at: Time of the publication, in UTC.
-        token: Unique to each write.
+        token: Unique to each write, so that a write whose response was lost can
+            be recognised in the store.
     """
 
     trainer: str
--- a/src/kingcupscale/rollouts/step.py
+++ b/src/kingcupscale/rollouts/step.py
@@ -195,10 +195,11 @@
     async def fetch(
         self, request: messages.FetchRequest
     ) -> messages.FetchResponse:
-        """Returns complete groups, waiting until there is one.
+        """Returns complete groups, waiting up to ``wait_s`` for the first one.
 
         Raises:
-            ServiceError: ``STEP_CANCELLED`` if the step was cancelled.
+            ServiceError: ``STEP_CANCELLED`` if the step was cancelled and no
+                group can be returned.
         """
         self.fetched_at = self.context.clock.monotonic()
         self.version = max(self.version, request.version)
--- a/src/kingcupscale/serving/claims.py
+++ b/src/kingcupscale/serving/claims.py
@@ -39,7 +39,8 @@
         fingerprint: Digest of the request that first used the key.
         state: Progress of the request.
         node: ``name/incarnation`` of the node that runs the request.
-        token: Unique to each write.
+        token: Unique to each write, so that a write whose response was lost can
+            be recognised in the store.
         status: HTTP status of the response.
         content_type: Content type of the response.
         body: The response body in base64, or None if it was too large to store.
--- a/src/kingcupscale/serving/completion.py
+++ b/src/kingcupscale/serving/completion.py
@@ -25,8 +25,8 @@
 MAX_TOKENS_LIMIT = 8192
 MAX_TOKENS_DEFAULT = codec.PositiveInt(256)
 UNSTREAMED_CHUNK_TOKENS = 64
-# Maximum tokens of a streamed chunk; a short response is split into at least
-# MIN_STREAM_CHUNKS chunks.
+# Maximum tokens of a streamed chunk; fewer if max_tokens would otherwise fit
+# into fewer than MIN_STREAM_CHUNKS chunks.
 STREAM_CHUNK_TOKENS = 16
 MIN_STREAM_CHUNKS = 4
 
@@ -256,10 +256,10 @@
         is_first = True
         with self.sessions.open(grant) as session:
             async with contextlib.aclosing(token_chunks):
-                step = functools.partial(anext, token_chunks, None)
+                receive_chunk = functools.partial(anext, token_chunks, None)
                 while True:
                     try:
-                        token_chunk = await session.run(step)
+                        token_chunk = await session.run(receive_chunk)
                     except errors.ServiceError as e:
                         if is_first:
                             raise
@@ -297,6 +297,10 @@
 
 
 def _error_event(error: errors.ServiceError) -> bytes:
-    """Returns the event that ends a stream with an error."""
+    """Returns the event that ends a stream with an error.
+
+    A part of the response was already sent, so the error cannot claim that the
+    request has not run.
+    """
     error.run = errors.Run.UNKNOWN
     return b"data: " + orjson.dumps(error.to_body()) + b"\n\n"
--- a/src/kingcupscale/serving/generation.py
+++ b/src/kingcupscale/serving/generation.py
@@ -210,6 +210,11 @@
         state: routing.ServerState,
         received: list[str],
     ) -> AsyncIterator[TokenChunk]:
+        """Yields the remaining chunks of a response from one engine.
+
+        The last chunk is yielded only once the engine's response has ended,
+        because a chunk after it makes the response invalid.
+        """
         generate_request = _make_request(job, received)
         request = message.json_request("/generate", generate_request)
         request.headers[ORGANISATION_HEADER] = job.label
--- a/src/kingcupscale/serving/plainservices.py
+++ b/src/kingcupscale/serving/plainservices.py
@@ -53,7 +53,7 @@
 class PlainServiceClient:
     """Sends callers' requests to plain services.
 
-    A failed call is retried only if it is idempotent or was not sent.
+    A failed call is retried only if it is idempotent or certainly did not run.
 
     Args:
         pools: The services.
@@ -121,7 +121,8 @@
         )
         if isinstance(acquired, message.Response):
             return acquired
-        # Record the outcome even if the caller disconnects meanwhile.
+        # Complete the call and record its outcome even if the caller
+        # disconnects meanwhile.
         with trio.CancelScope(shield=True):
             try:
                 response = await self._route(pool, call, is_idempotent=False)
@@ -186,7 +187,9 @@
         )
         if _is_leaving_response(response):
             state.is_leaving = True
-            raise httpclient.RequestError("leaving", may_have_been_sent=False)
+            raise httpclient.RequestError(
+                "the server is draining", may_have_been_sent=False
+            )
         expected = request.headers[REQUEST_ID_HEADER]
         if response.headers.get(REQUEST_ID_HEADER) != expected:
             events.log(
--- a/src/kingcupscale/serving/queue.py
+++ b/src/kingcupscale/serving/queue.py
@@ -32,8 +32,8 @@
     Implements start-time fair queueing: each organisation has a virtual time
     that advances by the cost of its served items, and the organisation with
     the lowest virtual time is served next. An organisation that was idle
-    continues at the virtual time of the last served item, so that it gets no
-    credit for the time it was idle.
+    continues no earlier than at the virtual time of the last served item, so
+    that it gets no credit for the time it was idle.
 
     Attributes:
         waiting: Queued entries by priority and organisation.
--- a/src/kingcupscale/serving/routing.py
+++ b/src/kingcupscale/serving/routing.py
@@ -39,7 +39,8 @@
         reported_at: Monotonic time of the last load report.
         failures: Number of consecutive failures.
         ejected_until: Monotonic time until which it gets no requests.
-        is_leaving: Whether it is draining before its shutdown.
+        is_leaving: Whether it gets no new requests because it is draining or
+            was removed from the configuration.
     """
 
     name: str
@@ -61,7 +62,10 @@
         return self.in_flight + self.other_requests * weight
 
     def slots(self) -> int:
-        """Returns the number of usable slots; one until a failure is reset."""
+        """Returns the number of usable slots.
+
+        After a failure it is one, until a request succeeds.
+        """
         return 1 if self.failures else self.server.slots
 
     def utilisation(self, now: float) -> float:
@@ -71,7 +75,7 @@
 
 @attrs.frozen
 class ServerRequirements:
-    """A request's requirements of a server.
+    """A request's constraints and preferences in the choice of a server.
 
     Attributes:
         affinity: Digest; requests with the same digest prefer the same
@@ -105,7 +109,11 @@
     def update(
         self, servers: dict[str, document.BackendServer], leaving: set[str]
     ) -> None:
-        """Applies the configured servers and the addresses of leaving ones."""
+        """Applies the configured servers and the addresses of leaving ones.
+
+        A leaving server gets requests again only if it is removed and added
+        again or changes its address.
+        """
         for name in self.servers.keys() - servers.keys():
             self.servers.pop(name).is_leaving = True
         for name, server in servers.items():
@@ -118,10 +126,10 @@
             self.servers[name].is_leaving |= is_leaving
 
     def usable(self, requirements: ServerRequirements) -> list[ServerState]:
-        """Returns the servers that meet the requirements, busy or not.
+        """Returns the servers that meet the requirements.
 
-        Cheap servers are used for other requests only if no regular server is
-        left.
+        Includes busy and ejected servers. A request that does not accept cheap
+        servers gets them only if no regular server is left.
         """
         servers = [
             state
@@ -134,7 +142,10 @@
         return servers
 
     def choose(self, requirements: ServerRequirements) -> ServerState | None:
-        """Returns a server with a free slot for a request, or None."""
+        """Returns a server with a free slot for a request, or None.
+
+        Requests that accept cheap servers prefer them.
+        """
         now = self.clock.monotonic()
         free = [
             s
--- a/src/kingcupscale/serving/services.py
+++ b/src/kingcupscale/serving/services.py
@@ -90,7 +90,11 @@
         return pool
 
     async def run(self) -> None:
-        """Dispatches queued requests of all services until cancelled."""
+        """Dispatches queued requests of all services until cancelled.
+
+        Runs at an interval because a server can also become usable with time
+        alone, when its ejection ends or a load report loses its weight.
+        """
         while True:
             await self.clock.sleep(scheduler.DISPATCH_INTERVAL_S)
             for pool in list(self.pools.values()):
--- a/src/kingcupscale/serving/sessions.py
+++ b/src/kingcupscale/serving/sessions.py
@@ -43,7 +43,8 @@
         """Runs a part of the request's work unless its key is withdrawn.
 
         Raises:
-            ServiceError: ``KEY_WITHDRAWN`` if the key is withdrawn meanwhile.
+            ServiceError: ``KEY_WITHDRAWN`` if the key is withdrawn before or
+                during the work.
         """
         with trio.CancelScope() as scope:
             self.scopes.add(scope)
--- a/tests/test_breaks.py
+++ b/tests/test_breaks.py
@@ -68,10 +68,10 @@
     """An engine whose responses carry the id of another request."""
 
     async def __call__(self, request):
-        asked = orjson.loads(request.body)
+        generate_request = orjson.loads(request.body)
         chunk = engine.GenerateChunk("another", 0, ["wrong"], 0, True)
         body = message.json_response(chunk).body + b"\n"
-        if asked["resume"]:
+        if generate_request["resume"]:
             body = b"\n"
         return message.Response(200, {}, body)
 
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -24,7 +24,7 @@
             cluster.world.store.down = True
             names = cluster.node_names()
             trainer = cluster.trainer(0)
-            people = [cluster.caller(0), cluster.caller(1)]
+            clients = [cluster.caller(0), cluster.caller(1)]
             for number in range(OUTAGE_S // ROUND_S):
                 specification = callers.make_step(
                     "trainer-1", number, 0, 2, 2, 60
@@ -32,7 +32,7 @@
                 await callers.run_step(
                     trainer, "trainer-1", specification, cluster.record
                 )
-                for caller in people:
+                for caller in clients:
                     answer = await caller.complete()
                     self.assertEqual(answer.status, 200)
                     answer = await caller.quote()
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -22,7 +22,7 @@
 from kingcupscale.rollouts import trainer as trainers
 from tests import virtual
 
-SLOW = clusters.ClusterSettings(organisations=1)
+ONE_ORGANISATION = clusters.ClusterSettings(organisations=1)
 
 
 async def run_step(cluster, trainer, number, groups=3, max_tokens=60):
@@ -32,7 +32,7 @@
     await callers.run_step(trainer, "trainer-1", specification, cluster.record)
 
 
-class ReceivedTest(unittest.TestCase):
+class RangesTest(unittest.TestCase):
     @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
     @hypothesis.given(strategies.sets(strategies.integers(0, 60)))
     def test_ranges_contain_exactly_the_numbers(self, numbers):
@@ -72,7 +72,7 @@
     def test_trainer_gets_each_group_once(self, fault, operation):
         async def main():
             plan = faults.FaultPlan({("outside", operation, 0): fault})
-            async with clusters.running(SLOW, plan) as cluster:
+            async with clusters.running(ONE_ORGANISATION, plan) as cluster:
                 trainer = cluster.trainer(0)
                 await run_step(cluster, trainer, 0)
                 await trainer.publish(1)
@@ -103,7 +103,7 @@
 
     @virtual.on_virtual_time
     async def test_stale_samples_are_generated_again(self):
-        async with clusters.running(SLOW) as cluster:
+        async with clusters.running(ONE_ORGANISATION) as cluster:
             trainer = cluster.trainer(0)
             specification = callers.make_step("trainer-1", 0, 0, 3, 2, 60)
             body = messages.OpenRequest(specification)
@@ -149,7 +149,7 @@
 
     @virtual.on_virtual_time
     async def test_conflicting_specification_is_refused(self):
-        async with clusters.running(SLOW) as cluster:
+        async with clusters.running(ONE_ORGANISATION) as cluster:
             trainer = cluster.trainer(0)
             for seed, refused in ((0, False), (1, True)):
                 specification = callers.make_step("trainer-1", 0, 0, 3, 2, 60)
@@ -189,7 +189,7 @@
 
     @virtual.on_virtual_time
     async def test_failed_swap_never_reports_a_wrong_version(self):
-        async with clusters.running(SLOW) as cluster:
+        async with clusters.running(ONE_ORGANISATION) as cluster:
             await trio.sleep(10)
             cluster.world.engines["plume-1"].fail_swaps = True
             trainer = cluster.trainer(0)
@@ -208,7 +208,7 @@
 
     @virtual.on_virtual_time
     async def test_older_version_cannot_be_published(self):
-        async with clusters.running(SLOW) as cluster:
+        async with clusters.running(ONE_ORGANISATION) as cluster:
             trainer = cluster.trainer(0)
             await trainer.publish(2)
             await trainer.publish(2)
@@ -217,7 +217,7 @@
 
     @virtual.on_virtual_time
     async def test_incomplete_version_is_published_once_complete(self):
-        async with clusters.running(SLOW) as cluster:
+        async with clusters.running(ONE_ORGANISATION) as cluster:
             cluster.world.weights.newest = 0
             trainer = cluster.trainer(0)
             async with trio.open_nursery() as nursery:
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -26,7 +26,7 @@
 QUOTES = "/services/shop-app/quotes"
 
 
-async def ask(cluster, request, key=None, node="node-1"):
+async def send(cluster, request, key=None, node="node-1"):
     if key is not None:
         request.headers["authorization"] = f"Bearer {key}"
     return await httpclient.fetch(
@@ -103,7 +103,7 @@
                     {} if key else dict(headers),
                     body,
                 )
-                response = await ask(cluster, request, key)
+                response = await send(cluster, request, key)
                 error = read_error(response)
                 self.assertEqual(response.status, code.status)
                 self.assertEqual(error["code"], code.number)
@@ -129,7 +129,7 @@
                     {},
                     key.encode() if in_body else b"",
                 )
-                response = await ask(cluster, request, key)
+                response = await send(cluster, request, key)
                 self.assertEqual(read_error(response)["code"], 1104)
                 self.assertEqual(executions(cluster), [])
 
@@ -156,7 +156,7 @@
                 "/open/shop-app/catalogues",
             ):
                 request = message.Request("GET", path)
-                statuses.append((await ask(cluster, request)).status)
+                statuses.append((await send(cluster, request)).status)
             self.assertEqual(statuses, [200, 404, 404, 404, 404])
             labels = {e.organisation for e in executions(cluster)}
             self.assertEqual(labels, {"org-customer-2"})
@@ -175,7 +175,7 @@
                     "/v1/chat/completions", {**body, "stream": is_stream}
                 )
                 key = cluster.issued[0].text
-                answers.append((await ask(cluster, request, key)).body)
+                answers.append((await send(cluster, request, key)).body)
             *events, done = answers[1].removesuffix(b"\n\n").split(b"\n\n")
             self.assertEqual(done, b"data: [DONE]")
             choices = [
@@ -188,9 +188,9 @@
             self.assertEqual(deltas[-1], {})
             reasons = [choice["finish_reason"] for choice in choices]
             self.assertEqual(reasons, [None] * (len(reasons) - 1) + ["stop"])
-            whole = orjson.loads(answers[0])["choices"][0]["message"]
+            full = orjson.loads(answers[0])["choices"][0]["message"]
             text = "".join(delta.get("content", "") for delta in deltas)
-            self.assertEqual(text, whole["content"])
+            self.assertEqual(text, full["content"])
 
     @virtual.on_virtual_time
     async def test_streams_of_an_organisation_are_limited(self):
@@ -208,7 +208,7 @@
             async def call():
                 body = {"model": "plume-llm", "prompt": "x", "max_tokens": 8}
                 request = message.json_request("/v1/completions", body)
-                response = await ask(cluster, request, cluster.issued[0].text)
+                response = await send(cluster, request, cluster.issued[0].text)
                 codes.append(response.status)
 
             async with trio.open_nursery() as nursery:
@@ -262,13 +262,13 @@
                 request = message.Request(
                     "POST", QUOTES, "", {"idempotency-key": "k"}, b"{}"
                 )
-                bodies.add((await ask(cluster, request, key)).body)
+                bodies.add((await send(cluster, request, key)).body)
             self.assertEqual(len(bodies), 1)
             self.assertEqual(len(executions(cluster)), 1)
             other = message.Request(
                 "POST", QUOTES, "", {"idempotency-key": "k"}, b"[]"
             )
-            response = await ask(cluster, other, key)
+            response = await send(cluster, other, key)
             self.assertEqual(read_error(response)["code"], 1401)
 
     @virtual.on_virtual_time
@@ -278,7 +278,7 @@
             request = message.Request(
                 "POST", QUOTES, "", {"idempotency-key": "k"}, b"{}"
             )
-            response = await ask(cluster, request, cluster.issued[0].text)
+            response = await send(cluster, request, cluster.issued[0].text)
             self.assertEqual(read_error(response)["code"], 1404)
             self.assertEqual(read_error(response)["run"], "not_run")
             self.assertEqual(executions(cluster), [])
@@ -290,7 +290,7 @@
                 request = message.Request(
                     "POST", QUOTES, "", {"idempotency-key": "k"}, b"{}"
                 )
-                response = await ask(cluster, request, issued.text)
+                response = await send(cluster, request, issued.text)
                 digest = fake_service.body_digest(b"{}")
                 self.assertIn(digest.encode(), response.body)
                 self.assertIn(issued.label.encode(), response.body)
@@ -340,12 +340,12 @@
             await trio.sleep(5)
             body = {"model": "plume-llm", "prompt": "x"}
             request = message.json_request("/v1/completions", body)
-            began_at = trio.current_time()
-            response = await ask(cluster, request, cluster.issued[0].text)
+            started_at = trio.current_time()
+            response = await send(cluster, request, cluster.issued[0].text)
             error = read_error(response)
             self.assertEqual((error["code"], error["run"]), (1204, "not_run"))
             self.assertIn("retry-after", response.headers)
-            self.assertLess(trio.current_time() - began_at, 1)
+            self.assertLess(trio.current_time() - started_at, 1)
 
     @virtual.on_virtual_time
     async def test_failing_engine_is_ejected_and_readmitted(self):
@@ -372,8 +372,8 @@
         for _ in range(1000):
             budget.record_request()
             taken += budget.try_spend() + budget.try_spend()
-        most = retrybudget.MAX_BALANCE + 1000 * retrybudget.RETRY_RATIO
-        self.assertLessEqual(taken, most)
+        max_retries = retrybudget.MAX_BALANCE + 1000 * retrybudget.RETRY_RATIO
+        self.assertLessEqual(taken, max_retries)
         await trio.sleep(10)
         self.assertTrue(budget.try_spend())
 
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -1,4 +1,8 @@
-"""Callers, trainers and usage reports together, on virtual time."""
+"""Callers, trainers and usage reports together, on virtual time.
+
+Guards against violated invariants in normal operation, and against usage
+reports that differ from the tokens that the engines generated.
+"""
 
 import unittest
 
