--- a/src/kingcupscale/__init__.py
+++ b/src/kingcupscale/__init__.py
@@ -1,8 +1,8 @@
 """A rollout service for reinforcement learning that also serves live traffic.
 
-The package re-exports the classes for programs that embed it. Each part also
-works without a running node. A name is imported when it is first used, so that
-a node does not load modules that it does not need.
+The package re-exports the classes for programs that embed it, including ones
+that run no node. A name is imported when it is first used, so that a node does
+not load modules that it does not need.
 """
 
 import importlib
