--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,7 @@
-"""``python -m tests.soak``: soaks seeds and says which promises broke."""
+"""Command line of the soak test: ``python -m tests.soak``.
+
+Runs the given seeds and prints the invariants that each of them violated.
+"""
 
 import argparse
 import random
@@ -11,7 +14,7 @@
 
 
 def parse_seeds(text):
-    """Returns the seeds that ``3``, ``1-50`` or ``fresh:5`` stand for."""
+    """Parses ``3``, ``1-50`` or ``fresh:5`` (five random seeds)."""
     if text.startswith("fresh:"):
         count = int(text.removeprefix("fresh:"))
         return [random.SystemRandom().randrange(10**6) for _ in range(count)]
@@ -20,7 +23,7 @@
 
 
 def main():
-    """Runs the seeds; fails if any of them shows a problem."""
+    """Runs the seeds; returns 1 if any of them shows a problem."""
     parser = argparse.ArgumentParser(prog="python -m tests.soak")
     parser.add_argument(
         "--seeds",
@@ -29,9 +32,14 @@
         help="a seed, a range such as 1-50, or fresh:N",
     )
     parser.add_argument(
-        "--seconds", type=float, default=20.0, help="of faults for each seed"
+        "--seconds",
+        type=float,
+        default=20.0,
+        help="duration of the faults for each seed",
+    )
+    parser.add_argument(
+        "--jobs", type=int, default=1, help="number of seeds that run at a time"
     )
-    parser.add_argument("--jobs", type=int, default=1, help="seeds at a time")
     parser.add_argument("--logs", help="keep settings and logs in this folder")
     arguments = parser.parse_args()
     eliot.add_destinations(lambda _: None)
@@ -39,34 +47,34 @@
 
 
 async def _run(arguments):
-    broken = []
-    waiting = list(arguments.seeds)
+    failed = []
+    pending_seeds = list(arguments.seeds)
 
-    async def work():
-        while waiting:
-            seed = waiting.pop(0)
+    async def run_pending():
+        while pending_seeds:
+            seed = pending_seeds.pop(0)
             outcome = await session.run(seed, arguments.seconds, arguments.logs)
-            _show(outcome)
+            _print_outcome(outcome)
             if outcome.problems:
-                broken.append(seed)
+                failed.append(seed)
 
     async with trio.open_nursery() as nursery:
         for _ in range(arguments.jobs):
-            nursery.start_soon(work)
+            nursery.start_soon(run_pending)
     total = len(arguments.seeds)
-    print(f"{total - len(broken)} seeds kept all promises, {len(broken)} broke")
-    return 1 if broken else 0
+    print(f"{total - len(failed)} seeds kept all promises, {len(failed)} broke")
+    return 1 if failed else 0
 
 
-def _show(outcome):
+def _print_outcome(outcome):
     print(
-        f"seed {outcome.seed}: {outcome.served} of {outcome.asked} calls, "
+        f"seed {outcome.seed}: {outcome.served} of {outcome.calls_sent} calls, "
         f"{outcome.batches} batches, {len(outcome.faults)} faults, "
         f"{outcome.memory_mb} MB, {len(outcome.problems)} problems",
         flush=True,
     )
-    for words in outcome.problems[:10]:
-        print("   ", *words)
+    for problem in outcome.problems[:10]:
+        print("   ", *problem)
 
 
 if __name__ == "__main__":
--- a/tests/soak/node.py
+++ b/tests/soak/node.py
@@ -1,8 +1,8 @@
-"""Starts a node whose wall clock can be set wrong from outside.
+"""Starts a node whose wall clock can be shifted from another process.
 
-``python -m tests.soak.node OFFSETS ...`` runs ``kingcupscale serve`` with the
-remaining arguments; the file OFFSETS holds the seconds by which the wall clock
-is off, read again at each use.
+``python -m tests.soak.node OFFSET_FILE ...`` runs ``kingcupscale serve`` with
+the remaining arguments. OFFSET_FILE holds the seconds that are added to the
+wall clock; it is read at each clock reading.
 """
 
 import datetime
@@ -13,17 +13,17 @@
 from kingcupscale.commands import serving
 
 
-def make_wrong(path):
-    """Has the system's clock read as the file says."""
-    true_now = clocks.SystemClock.now
+def install_clock_offset(path):
+    """Patches the system clock to add the offset in the file."""
+    original_now = clocks.SystemClock.now
 
     def now(self):
         text = path.read_text(encoding="ascii")
-        return true_now(self) + datetime.timedelta(seconds=float(text or 0))
+        return original_now(self) + datetime.timedelta(seconds=float(text or 0))
 
     clocks.SystemClock.now = now
 
 
 if __name__ == "__main__":
-    make_wrong(pathlib.Path(sys.argv.pop(1)))
+    install_clock_offset(pathlib.Path(sys.argv.pop(1)))
     sys.exit(serving.main())
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy whose connections can be delayed, cut and silenced."""
+"""A loopback TCP proxy that can delay, stall, reset and refuse connections."""
 
 import contextlib
 import functools
@@ -8,25 +8,25 @@
 import trio
 
 CHUNK_BYTES = 65_536
-# Linger time of zero has the kernel send a reset instead of an end.
-RESET = struct.pack("ii", 1, 0)
+# With a linger time of zero, closing a socket sends RST instead of FIN.
+LINGER_ZERO = struct.pack("ii", 1, 0)
 
-_ENDED = (trio.BrokenResourceError, trio.ClosedResourceError)
+_CONNECTION_ERRORS = (trio.BrokenResourceError, trio.ClosedResourceError)
 
 
 class Proxy:
-    """Passes connections on to one address.
+    """Forwards connections to one address.
 
     Args:
-        target: ``host:port`` to pass on to.
-        host: Where it listens.
+        target: ``host:port`` to forward to.
+        host: Address to listen on.
 
     Attributes:
-        address: ``host:port`` where it listens.
-        delay_s: Seconds for which each piece is held back.
+        address: ``host:port`` it listens on.
+        delay_s: Seconds by which each chunk is delayed.
         is_refusing: Whether new connections are reset.
-        silent: Directions that nothing gets through: "up" towards the target,
-            "down" from it.
+        stalled_directions: Directions in which data is held until ``heal``:
+            "up" towards the target, "down" from it.
     """
 
     def __init__(self, target: str, host: str) -> None:
@@ -35,7 +35,7 @@
         self.address = ""
         self.delay_s = 0.0
         self.is_refusing = False
-        self.silent: set[str] = set()
+        self.stalled_directions: set[str] = set()
         self.streams: set[trio.SocketStream] = set()
         self.healed = trio.Event()
 
@@ -45,7 +45,7 @@
         port = listener.socket.getsockname()[1]
         self.address = f"{self.host}:{port}"
         await trio.serve_listeners(
-            self._pass_on, [listener], task_status=task_status
+            self._forward, [listener], task_status=task_status
         )
 
     def reset_all(self):
@@ -54,51 +54,56 @@
             _reset(stream)
 
     def heal(self):
-        """Ends all disturbances."""
+        """Clears all faults and lets stalled data through."""
         self.delay_s = 0.0
         self.is_refusing = False
-        self.silent = set()
+        self.stalled_directions = set()
         healed, self.healed = self.healed, trio.Event()
         healed.set()
 
-    async def _pass_on(self, near):
+    async def _forward(self, downstream):
         if self.is_refusing:
-            _reset(near)
+            _reset(downstream)
             return
         host, _, port = self.target.rpartition(":")
         try:
-            far = await trio.open_tcp_stream(host, int(port))
+            upstream = await trio.open_tcp_stream(host, int(port))
         except OSError:
-            _reset(near)
+            _reset(downstream)
             return
-        self.streams |= {near, far}
+        self.streams |= {downstream, upstream}
         try:
-            async with near, far, trio.open_nursery() as nursery:
-                for words in ((near, far, "up"), (far, near, "down")):
+            async with downstream, upstream, trio.open_nursery() as nursery:
+                for copy_arguments in (
+                    (downstream, upstream, "up"),
+                    (upstream, downstream, "down"),
+                ):
                     nursery.start_soon(
-                        functools.partial(self._pump, *words, nursery)
+                        functools.partial(self._copy, *copy_arguments, nursery)
                     )
         finally:
-            self.streams -= {near, far}
+            self.streams -= {downstream, upstream}
 
-    async def _pump(self, source, sink, direction, nursery):
-        with contextlib.suppress(*_ENDED):
+    async def _copy(self, source, sink, direction, nursery):
+        with contextlib.suppress(*_CONNECTION_ERRORS):
             while True:
-                piece = await source.receive_some(CHUNK_BYTES)
-                while direction in self.silent:
+                chunk = await source.receive_some(CHUNK_BYTES)
+                while direction in self.stalled_directions:
                     await self.healed.wait()
                 if self.delay_s:
                     await trio.sleep(self.delay_s)
-                if not piece:
+                if not chunk:
                     await sink.send_eof()
                     return
-                await sink.send_all(piece)
+                await sink.send_all(chunk)
         _reset(source)
         _reset(sink)
         nursery.cancel_scope.cancel()
 
 
 def _reset(stream):
-    with contextlib.suppress(OSError, *_ENDED):
-        stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+    with contextlib.suppress(OSError, *_CONNECTION_ERRORS):
+        stream.socket.setsockopt(
+            socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO
+        )
         stream.socket.close()
--- a/tests/soak/seeds.py
+++ b/tests/soak/seeds.py
@@ -1,16 +1,16 @@
-"""Seeds that have shown a fault, each with a line on its cause."""
+"""Seeds that have found a fault, each with the cause of its failure."""
 
 import attrs
 
 
 @attrs.frozen
 class Seed:
-    """A seed that failed once.
+    """A seed whose soak test has failed.
 
     Attributes:
         number: The seed.
-        seconds: Length of its faults.
-        cause: What it had found.
+        seconds: Duration of the faults.
+        cause: The fault that it found.
     """
 
     number: int
@@ -18,16 +18,18 @@
     cause: str
 
 
-_TWO_WRITES = (
-    "at a planned stop a node's last write of usage met the usual one, and the"
-    " second to end found its window gone: the node ended with code 1"
+_CONCURRENT_USAGE_WRITES = (
+    "at a planned stop, a node's final usage write ran at the same time as the"
+    " periodic one; the second to finish found its window already removed, and"
+    " the node exited with code 1"
 )
-_VERSION_UNTOLD = (
-    "a node ran a model's samples without having been told which versions the"
-    " engines had loaded: each refused each run, and nothing asked them"
+_UNKNOWN_ENGINE_VERSIONS = (
+    "a node ran a model's samples without having received which weight"
+    " versions the engines had loaded; each engine refused each run, and the"
+    " node never queried the engines for their versions"
 )
 FAILED: tuple[Seed, ...] = (
-    Seed(1, 8.0, _VERSION_UNTOLD),
-    Seed(17, 15.0, _TWO_WRITES),
-    Seed(18, 15.0, _TWO_WRITES),
+    Seed(1, 8.0, _UNKNOWN_ENGINE_VERSIONS),
+    Seed(17, 15.0, _CONCURRENT_USAGE_WRITES),
+    Seed(18, 15.0, _CONCURRENT_USAGE_WRITES),
 )
--- a/tests/soak/session.py
+++ b/tests/soak/session.py
@@ -1,4 +1,8 @@
-"""One seeded soak: traffic, faults, healing and what must hold in the end."""
+"""Runs the soak test of one seed.
+
+A run sends traffic while random faults are injected, then clears the faults
+and checks that the nodes recover and that no invariant was violated.
+"""
 
 import pathlib
 import tempfile
@@ -12,66 +16,72 @@
 
 CALLERS = 3
 TRAINERS = 2
-# Nodes are ready and batches are whole this long after the last fault.
+# Within this time after the last fault, nodes must be ready and accepted
+# batches complete.
 RECOVERY_S = 15.0
-# What a node may keep resident at the design size, plus what the interpreter
-# keeps of modules that only tests use.
+# Limit on the resident memory of a node: its budget at the design size plus the
+# memory of modules that only tests import.
 MEMORY_MB = 64.0
 PAGE_BYTES = 4096
 
 
 @attrs.define
 class Outcome:
-    """What one seed has shown.
+    """The result of running one seed.
 
     Attributes:
         seed: The seed.
-        problems: Promises that were broken.
-        faults: What struck when.
-        asked: Single calls that were sent.
-        served: Single calls that were answered with success.
+        problems: Violated invariants, each with its time and details.
+        faults: The injected faults, each with its time.
+        calls_sent: Single calls that were sent.
+        served: Single calls that were answered with status 200.
         batches: Batches that were accepted.
-        memory_mb: Most memory that a node kept resident.
+        memory_mb: Peak resident memory of any node.
     """
 
     seed: int
     problems: list
     faults: list
-    asked: int = 0
+    calls_sent: int = 0
     served: int = 0
     batches: int = 0
     memory_mb: float = 0.0
 
 
 async def run(seed, seconds, folder=None):
-    """Runs one seed and returns its outcome; logs stay in the folder."""
+    """Runs one seed and returns its outcome.
+
+    Settings and logs are kept if a folder is given.
+    """
     with tempfile.TemporaryDirectory() as temporary:
         async with trio.open_nursery() as nursery:
-            chosen = pathlib.Path(folder or temporary) / f"seed-{seed}"
-            chosen.mkdir(parents=True, exist_ok=True)
+            log_folder = pathlib.Path(folder or temporary) / f"seed-{seed}"
+            log_folder.mkdir(parents=True, exist_ok=True)
             world = worlds.World(
-                chosen, nursery, worlds.make_rng(seed, "platform")
+                log_folder, nursery, worlds.make_rng(seed, "platform")
             )
             session = Session(world, seed)
             try:
                 await session.run(seconds)
             finally:
                 with trio.CancelScope(shield=True):
-                    failed = await world.close()
-            for name, (code, words) in failed.items():
-                session.observed.note("exit code", name, code, words)
-            session.observed.check_end()
+                    failed_nodes = await world.close()
+            for name, (code, output_lines) in failed_nodes.items():
+                session.observations.add_problem(
+                    "exit code", name, code, output_lines
+                )
+            session.observations.check_end()
             nursery.cancel_scope.cancel()
     return session.outcome(seed)
 
 
 class Session:
-    """The traffic and faults of one seed."""
+    """Runs the traffic and faults of one seed and collects the results."""
 
     def __init__(self, world, seed):
         self.world = world
         self.seed = seed
-        self.observed = callers.Observed(world)
+        self.observations = callers.Observations(world)
         self.faults = faults.Faults(world, worlds.make_rng(seed, "faults"))
         self.memory_mb = 0.0
 
@@ -79,21 +89,21 @@
         return worlds.make_rng(self.seed, purpose)
 
     async def run(self, seconds):
-        """Runs traffic under faults, then checks the recovery."""
+        """Runs traffic while faults are injected, then checks the recovery."""
         await self.world.open()
         await self._wait_until_ready("at the start")
         async with trio.open_nursery() as traffic:
-            traffic.start_soon(self._watch_memory)
+            traffic.start_soon(self._monitor_memory)
             for number in range(CALLERS):
                 name = f"c{number}"
                 caller = callers.Caller(
-                    self.world, self.observed, name, self._rng(name)
+                    self.world, self.observations, name, self._rng(name)
                 )
                 traffic.start_soon(caller.run)
             for number in range(TRAINERS):
                 traffic.start_soon(self._trainer(f"t{number}").run)
             auditor = callers.Auditor(
-                self.world, self.observed, "a", self._rng("a")
+                self.world, self.observations, "a", self._rng("a")
             )
             traffic.start_soon(auditor.run)
             await self.faults.run(seconds)
@@ -104,34 +114,45 @@
         await self._check_recovery()
 
     def _trainer(self, name):
-        return callers.Trainer(self.world, self.observed, name, self._rng(name))
+        return callers.Trainer(
+            self.world, self.observations, name, self._rng(name)
+        )
 
-    async def _wait_until_ready(self, when):
+    async def _wait_until_ready(self, phase):
         with trio.move_on_after(RECOVERY_S):
             for node in self.world.nodes:
-                while node.is_to_end or not await callers.is_ready(node):
-                    code = node.restart_ended()
+                while node.is_stop_requested or not await callers.is_ready(
+                    node
+                ):
+                    code = node.restart_if_exited()
                     if code is not None:
-                        self.observed.note("ended by itself", node.name, code)
+                        self.observations.add_problem(
+                            "unexpected exit", node.name, code
+                        )
                     await trio.sleep(0.1)
             return
-        self.observed.note("not ready", when)
+        self.observations.add_problem("nodes not ready in time", phase)
 
     async def _check_recovery(self):
         trainer = self._trainer("last")
         if not await trainer.train("last-batch", RECOVERY_S):
-            self.observed.note("no step after the faults")
-        for batch_id, items in sorted(self.observed.accepted.items()):
-            if batch_id in self.observed.ended_at:
+            self.observations.add_problem("step incomplete after the faults")
+        for batch_id, item_count in sorted(self.observations.accepted.items()):
+            if batch_id in self.observations.deleted_at:
                 continue
             with trio.move_on_after(RECOVERY_S):
-                known = self.observed.results[batch_id]
-                while len(known) < items:
-                    await trainer.read(batch_id, len(known))
-            if len(known) < items:
-                self.observed.note("not whole", batch_id, len(known), items)
+                results = self.observations.results_by_batch[batch_id]
+                while len(results) < item_count:
+                    await trainer.read(batch_id, len(results))
+            if len(results) < item_count:
+                self.observations.add_problem(
+                    "batch incomplete: got, expected",
+                    batch_id,
+                    len(results),
+                    item_count,
+                )
 
-    async def _watch_memory(self):
+    async def _monitor_memory(self):
         while True:
             for node in self.world.nodes:
                 if node.process.poll() is None:
@@ -142,15 +163,15 @@
             await trio.sleep(0.5)
 
     def outcome(self, seed):
-        """Returns what was seen."""
+        """Returns the outcome; memory above ``MEMORY_MB`` is a problem."""
         if self.memory_mb > MEMORY_MB:
-            self.observed.note("memory", round(self.memory_mb, 1))
+            self.observations.add_problem("memory", round(self.memory_mb, 1))
         return Outcome(
             seed,
-            self.observed.problems,
+            self.observations.problems,
             self.faults.log,
-            self.observed.asked,
-            self.observed.served,
-            len(self.observed.accepted),
+            self.observations.calls_sent,
+            self.observations.served,
+            len(self.observations.accepted),
             round(self.memory_mb, 1),
         )
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,7 @@
-"""A short soak: promises hold for real processes under seeded faults."""
+"""Short soak tests of real node processes under seeded faults.
+
+They rerun the seeds that have failed before; ``seeds.py`` names the causes.
+"""
 
 import unittest
 
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,4 +1,9 @@
-"""The platform on loopback, and node processes before it."""
+"""The system under soak test, on loopback.
+
+Runs a fake store, fake backend servers and a fake usage reporting endpoint in
+this process, and real node processes that reach them through fault-injecting
+proxies.
+"""
 
 import contextlib
 import itertools
@@ -24,102 +29,104 @@
 NODES = 4
 ENGINES = 4
 PLAIN_SERVERS = 2
-EXIT_LIMIT_S = 15.0
-# Port that a world holds at its host as long as it lasts, and the first one of
-# its nodes; below the range of ports for outgoing connections.
-CLAIM_PORT = 12_000
+EXIT_TIMEOUT_S = 15.0
+# A world keeps RESERVED_PORT bound on its address until it is closed; its nodes
+# listen from FIRST_PORT upwards. Both are below the ephemeral port range.
+RESERVED_PORT = 12_000
 FIRST_PORT = 12_001
-READY_LIMIT_S = 20.0
+READY_TIMEOUT_S = 20.0
 
 
 class Host:
-    """A loopback address that no other world has, in any process.
+    """A loopback address that no other world uses, in this or another process.
 
-    Outgoing connections come from 127.0.0.1, so its ports stay free for nodes
-    that start again.
+    Outgoing connections come from 127.0.0.1, so the ports of this address stay
+    free for nodes that restart.
 
     Attributes:
         name: The address.
-        claim: A bound socket that keeps others away.
-        ports: Ports that nobody listens at yet.
+        reservation: A bound socket that stops other worlds from using the
+            address.
+        ports: Iterator over ports that are not assigned yet.
     """
 
     def __init__(self):
         rng = random.SystemRandom()
-        self.claim = socket.socket()
+        self.reservation = socket.socket()
         self.name = ""
         while not self.name:
             name = f"127.{rng.randrange(1, 255)}.{rng.randrange(1, 255)}.1"
             with contextlib.suppress(OSError):
-                self.claim.bind((name, CLAIM_PORT))
+                self.reservation.bind((name, RESERVED_PORT))
                 self.name = name
         self.ports = itertools.count(FIRST_PORT)
 
     def next_address(self):
-        """Returns a free ``host:port``."""
+        """Returns the next unassigned ``host:port``."""
         return f"{self.name}:{next(self.ports)}"
 
     def close(self):
-        """Leaves the address to others."""
-        self.claim.close()
+        """Releases the address."""
+        self.reservation.close()
 
 
 class UnreliableStore:
-    """The store's stand-in with answers that are late, lost or refused.
+    """Wraps the fake store; delays requests and loses responses.
 
     Attributes:
-        lost_share: Share of calls that are done but not answered.
-        late_s: Most seconds by which a call is done late.
+        lost_response_rate: Fraction of requests that are applied but
+            answered with 503, after 10 s.
+        max_delay_s: Maximum delay of a request, in seconds.
     """
 
     def __init__(self, store, nursery, rng):
         self.store = store
         self.nursery = nursery
         self.rng = rng
-        self.lost_share = 0.0
-        self.late_s = 0.0
+        self.lost_response_rate = 0.0
+        self.max_delay_s = 0.0
 
     async def __call__(self, request):
-        is_lost = self.rng.random() < self.lost_share
-        if self.late_s:
-            await trio.sleep(self.rng.uniform(0.0, self.late_s))
+        is_lost = self.rng.random() < self.lost_response_rate
+        if self.max_delay_s:
+            await trio.sleep(self.rng.uniform(0.0, self.max_delay_s))
         if not is_lost:
             return await self.store(request)
-        # The call is done even if its sender has given up by then.
-        self.nursery.start_soon(self._do_later, request)
+        # The request is applied even if its sender has timed out by then.
+        self.nursery.start_soon(self._apply_later, request)
         await trio.sleep(10.0)
         return fakestore.json_response({}, 503)
 
-    async def _do_later(self, request):
+    async def _apply_later(self, request):
         await trio.sleep(self.rng.uniform(0.0, 2.0))
         await self.store(request)
 
 
 class NodeProcess:
-    """One node: its process, and the proxies on its ways."""
+    """One node: its process and the proxies on its connections."""
 
     def __init__(self, world, name, zone):
         self.world = world
         self.name = name
         self.zone = zone
-        self.callers = world.host.next_address()
-        self.readiness = world.host.next_address()
-        self.peers = world.host.next_address()
-        self.front = proxies.Proxy(self.callers, world.host.name)
-        self.store = proxies.Proxy(world.store_address, world.host.name)
-        self.cloud = proxies.Proxy(world.cloud_address, world.host.name)
+        self.caller_address = world.host.next_address()
+        self.readiness_address = world.host.next_address()
+        self.peer_address = world.host.next_address()
+        self.caller_proxy = proxies.Proxy(self.caller_address, world.host.name)
+        self.store_proxy = proxies.Proxy(world.store_address, world.host.name)
+        self.cloud_proxy = proxies.Proxy(world.cloud_address, world.host.name)
         self.folder = world.folder / name
         self.folder.mkdir()
-        self.offsets = self.folder / "offset"
-        self.offsets.write_text("0", encoding="ascii")
+        self.clock_offset_file = self.folder / "offset"
+        self.clock_offset_file.write_text("0", encoding="ascii")
         self.process = None
         self.starts = 0
         self.is_paused = False
-        self.is_to_end = False
+        self.is_stop_requested = False
 
     def links(self):
-        """Returns the proxies around the node."""
-        return [self.front, self.store, self.cloud]
+        """Returns the proxies on the connections of the node."""
+        return [self.caller_proxy, self.store_proxy, self.cloud_proxy]
 
     def write_settings(self):
         """Writes the settings file and returns its path."""
@@ -127,12 +134,12 @@
             "node": self.name,
             "role": "node",
             "zone": self.zone,
-            "listen.front": self.callers,
-            "listen.ready": self.readiness,
-            "listen.control": self.peers,
-            "provider.address": self.store.address,
+            "listen.front": self.caller_address,
+            "listen.ready": self.readiness_address,
+            "listen.control": self.peer_address,
+            "provider.address": self.store_proxy.address,
             "provider.ttlMinMs": "1000",
-            "cloud.address": self.cloud.address,
+            "cloud.address": self.cloud_proxy.address,
             "cloud.duties": "metering",
             "bounds.leaseMs": "3000",
             "bounds.graceS": "8",
@@ -144,59 +151,65 @@
         return path
 
     def start(self):
-        """Starts the process, with a log file of its own for each start."""
+        """Starts the process; each start has its own log file."""
         self.starts += 1
-        self.is_to_end = False
+        self.is_stop_requested = False
         log = (self.folder / f"log-{self.starts}").open("wb")
-        words = [
+        command = [
             sys.executable,
             "-m",
             "tests.soak.node",
-            str(self.offsets),
+            str(self.clock_offset_file),
             "--settings",
             str(self.write_settings()),
         ]
-        self.process = subprocess.Popen(words, stdout=log, stderr=log)
+        self.process = subprocess.Popen(command, stdout=log, stderr=log)
         log.close()
 
-    def send(self, number):
-        """Sends a signal to the process, if it is still there."""
+    def send(self, signal_number):
+        """Sends a signal to the process if it is still running."""
         if self.process.poll() is None:
-            self.is_to_end |= number in (signal.SIGTERM, signal.SIGKILL)
-            os.kill(self.process.pid, number)
+            self.is_stop_requested |= signal_number in (
+                signal.SIGTERM,
+                signal.SIGKILL,
+            )
+            os.kill(self.process.pid, signal_number)
 
-    def restart_ended(self):
-        """Starts the process if it has ended; returns its code if unasked."""
+    def restart_if_exited(self):
+        """Restarts the process if it has exited.
+
+        Returns the exit code if no signal had asked it to stop, else None.
+        """
         code = self.process.poll()
         if code is None:
             return None
-        is_unasked = not self.is_to_end
+        is_unexpected = not self.is_stop_requested
         self.start()
-        return code if is_unasked else None
+        return code if is_unexpected else None
 
     def pause(self, is_paused):
-        """Stops the process or has it go on."""
+        """Suspends or resumes the process."""
         self.is_paused = is_paused
         self.send(signal.SIGSTOP if is_paused else signal.SIGCONT)
 
-    async def wait(self, limit_s):
-        """Returns the exit code; None if the process is still there."""
-        with trio.move_on_after(limit_s):
+    async def wait(self, timeout_s):
+        """Returns the exit code, or None if the process is still running."""
+        with trio.move_on_after(timeout_s):
             while self.process.poll() is None:
                 await trio.sleep(0.05)
         return self.process.poll()
 
-    def last_words(self):
-        """Returns what the process has written beside its log."""
+    def last_output_lines(self):
+        """Returns the last six output lines that are not JSON log entries."""
         path = self.folder / f"log-{self.starts}"
         lines = path.read_text(encoding="utf-8", errors="replace").splitlines()
         return [line for line in lines if not line.startswith("{")][-6:]
 
-    async def end(self):
-        """Ends the process for good."""
+    async def shut_down(self):
+        """Shuts the process down; kills it after ``EXIT_TIMEOUT_S``."""
         self.pause(False)
         self.send(signal.SIGTERM)
-        code = await self.wait(EXIT_LIMIT_S)
+        code = await self.wait(EXIT_TIMEOUT_S)
         if code is None:
             self.process.kill()
             self.process.wait()
@@ -204,12 +217,12 @@
 
 
 class World:
-    """Everything that a soak runs: platform, nodes and links.
+    """Everything that a soak test runs: fake services, nodes and proxies.
 
     Args:
-        folder: Where settings and logs go.
-        nursery: Runs the platform.
-        rng: Decides what the platform does wrong.
+        folder: Folder for settings and logs.
+        nursery: Runs the fake services and the proxies.
+        rng: Chooses the faults of the unreliable store.
     """
 
     def __init__(self, folder, nursery, rng):
@@ -218,7 +231,7 @@
         self.rng = rng
         self.host = Host()
         self.store = fakestore.Store()
-        self.unreliable = UnreliableStore(self.store, nursery, rng)
+        self.unreliable_store = UnreliableStore(self.store, nursery, rng)
         self.violations = []
         self.runs = []
         self.orders = []
@@ -228,12 +241,12 @@
         self.nodes = []
         self.store_address = ""
         self.cloud_address = ""
-        self.named_version = 1
-        self.configurations = 1
+        self.published_version = 1
+        self.configuration_count = 1
 
     async def open(self):
-        """Starts the platform and the nodes, and waits for them."""
-        self.store_address = await self._serve(self.unreliable)
+        """Starts the fake services, the proxies and the node processes."""
+        self.store_address = await self._serve(self.unreliable_store)
         self.cloud_address = await self._serve(self.cloud)
         for number in range(ENGINES + PLAIN_SERVERS):
             is_engine = number < ENGINES
@@ -250,7 +263,7 @@
                 await self.nursery.start(link.run)
             node.start()
             self.nodes.append(node)
-        self.nursery.start_soon(self._beat)
+        self.nursery.start_soon(self._reregister_lost_servers)
 
     async def _serve(self, handler):
         async def never():
@@ -274,55 +287,58 @@
         self.server_links[name] = link
         added.register()
 
-    async def _beat(self):
-        """Has servers come back that the store has lost."""
+    async def _reregister_lost_servers(self):
+        """Registers servers again whose entries are gone from the store."""
         while True:
             await trio.sleep(1.0)
-            for name, present in self.servers.items():
+            for name, backend_server in self.servers.items():
                 if names.SERVERS_PREFIX + name not in self.store.items:
-                    present.register()
+                    backend_server.register()
 
     def write_configuration(self, configuration):
-        """Writes a configuration as the operator does."""
+        """Writes a configuration to the store, as an operator would."""
         self.store.put(names.CONFIGURATION_KEY, orjson.dumps(configuration))
 
-    def name_version(self):
-        """Names the next weight version as the trainer does."""
-        self.named_version += 1
-        value = {"model": harness.MODEL, "version": self.named_version}
+    def publish_version(self):
+        """Publishes the next weight version, as the trainer would."""
+        self.published_version += 1
+        value = {"model": harness.MODEL, "version": self.published_version}
         self.store.put(
             names.VERSIONS_PREFIX + harness.MODEL, orjson.dumps(value)
         )
 
     def heal(self):
-        """Ends all disturbances that do not end by themselves."""
+        """Clears the faults of store, cloud, links and nodes."""
         self.store.is_down = False
-        self.unreliable.lost_share = 0.0
-        self.unreliable.late_s = 0.0
+        self.unreliable_store.lost_response_rate = 0.0
+        self.unreliable_store.max_delay_s = 0.0
         self.cloud.is_down = False
         links = [link for node in self.nodes for link in node.links()]
         for link in [*links, *self.server_links.values()]:
             link.heal()
         for node in self.nodes:
             node.pause(False)
-            node.offsets.write_text("0", encoding="ascii")
+            node.clock_offset_file.write_text("0", encoding="ascii")
 
     async def close(self):
-        """Ends all processes; returns what each wrote that ended badly."""
-        failed = {}
+        """Shuts all nodes down.
+
+        Returns the exit code and last output of each node that failed, by name.
+        """
+        failed_nodes = {}
 
-        async def end(node):
-            code = await node.end()
+        async def shut_down(node):
+            code = await node.shut_down()
             if code != 0:
-                failed[node.name] = (code, node.last_words())
+                failed_nodes[node.name] = (code, node.last_output_lines())
 
         async with trio.open_nursery() as nursery:
             for node in self.nodes:
-                nursery.start_soon(end, node)
+                nursery.start_soon(shut_down, node)
         self.host.close()
-        return failed
+        return failed_nodes
 
 
 def make_rng(seed, purpose):
-    """Returns random numbers of their own for one purpose."""
+    """Returns a random generator that only one purpose uses."""
     return random.Random(f"{seed} {purpose}")
