--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -110,7 +110,9 @@
         for request_id, status in self.once_statuses.items():
             count = len(runs.get(request_id, ()))
             if count > 1:
-                self.add_problem("ran more than once: count", request_id, count)
+                self.add_problem(
+                    "ran more than once: id, count", request_id, count
+                )
             if status in NOT_RUN_STATUSES and count:
                 self.add_problem("call ran though refused", request_id, status)
         for batch_id, deleted_at in self.deleted_at.items():
--- a/tests/soak/session.py
+++ b/tests/soak/session.py
@@ -127,7 +127,7 @@
                     code = node.restart_if_exited()
                     if code is not None:
                         self.observations.add_problem(
-                            "unexpected exit", node.name, code
+                            "unexpected exit: node, code", node.name, code
                         )
                     await trio.sleep(0.1)
             return
@@ -146,7 +146,7 @@
                     await trainer.read(batch_id, len(results))
             if len(results) < item_count:
                 self.observations.add_problem(
-                    "batch incomplete: got, expected",
+                    "batch incomplete: id, got, expected",
                     batch_id,
                     len(results),
                     item_count,
