--- a/bench/deployment.py
+++ b/bench/deployment.py
@@ -87,7 +87,13 @@
 def make_node_settings(
     addresses: list[str], platform: settings.Platform
 ) -> list[settings.NodeSettings]:
-    """Returns settings of nodes, with three of the listener addresses each."""
+    """Returns the settings of one node for every three addresses.
+
+    Args:
+        addresses: The addresses for callers, operators and peers of the first
+            node, then those of the next node, and so on.
+        platform: Addresses of the platform services.
+    """
     count = len(addresses) // 3
     seeds = addresses[2::3][:3]
     key = settings.OperatorKey(SALT, keys.digest(SALT, OPERATOR_KEY))
@@ -155,9 +161,9 @@
             processes.run_module(*command, str(folder / "standins.toml"))
         )
         node_processes = []
-        for each in node_settings:
-            path = folder / f"{each.name}.toml"
-            write_toml(path, codec.unstructure(each))
+        for node in node_settings:
+            path = folder / f"{node.name}.toml"
+            write_toml(path, codec.unstructure(node))
             process = stack.enter_context(
                 processes.run_module(
                     "kingcupscale", "node", "--settings", str(path)
@@ -170,6 +176,7 @@
         )
         trio.run(_configure, deployment)
         yield deployment
+        # Signal all nodes first, since the exit stack waits for each in turn.
         for process in node_processes:
             process.terminate()
 
--- a/bench/filters.py
+++ b/bench/filters.py
@@ -124,13 +124,15 @@
 
 
 class Fleet:
-    """Simulated engines with prefix caches, and an outdated index of these.
+    """Simulated engines with prefix caches, and two indexes of the caches.
+
+    The indexes lag behind: caches change between calls of ``rebuild_indexes``.
 
     Attributes:
-        caches: The cached prefixes of each engine, in LRU order.
-        loads: Requests served by each engine.
-        holders: The exact index: engines by prefix.
-        filters: The filter of each engine's prefixes.
+        caches: The cached prefixes of each engine, least recently used first.
+        loads: Number of requests served by each engine.
+        holders: The exact index: names of the engines that cache a prefix.
+        filters: The other index: a filter of the prefixes of each engine.
     """
 
     def __init__(self, seed: int) -> None:
@@ -196,7 +198,8 @@
 def measure_affinity(way: str, false_positives: float) -> PrefixAffinityResult:
     """Measures one way to choose engines.
 
-    Only the second half of the requests counts for the hit rate.
+    Only the second half of the requests counts for the hit rate; the first half
+    fills the caches.
     """
     fleet = Fleet(seed=1)
     fleet.rebuild_indexes(false_positives)
--- a/bench/matrix.py
+++ b/bench/matrix.py
@@ -2,8 +2,8 @@
 
 A step is a call between two processes. Each session runs once without faults to
 find its steps. Then each cell runs it again with one fault at one step, and
-each pair with two faults. The guarantees are checked against what the fakes and
-the callers recorded.
+each pair runs it with two faults. The guarantees are checked against what the
+fakes and the callers recorded.
 """
 
 import argparse
@@ -33,7 +33,8 @@
 
     Attributes:
         session: Name of the session.
-        faults: The faults to inject, by place.
+        faults: The faults to inject, by place (caller, operation and number of
+            the call).
     """
 
     session: str
--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -231,7 +231,7 @@
         promise: The guarantee that the mechanism provides.
         file: The mutated source file, relative to the package.
         test: The test that was run.
-        is_red: Whether the test failed, as expected.
+        is_red: Whether the test run failed, as expected.
     """
 
     promise: str
--- a/bench/pools.py
+++ b/bench/pools.py
@@ -62,7 +62,7 @@
         """Does nothing; no resource is held."""
 
     def get_extra_info(self, info: str) -> Any:
-        """Returns that an idle connection has no data to read."""
+        """Reports that an idle connection has no data to read."""
         return False if info == "is_readable" else None
 
 
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -37,8 +37,8 @@
     """Latency and throughput of one path to the engine.
 
     Attributes:
-        p50_ms: Median latency of a call.
-        p99_ms: 99th percentile of the latency.
+        p50_ms: Median latency of a call, one call at a time.
+        p99_ms: 99th percentile of this latency.
         requests_per_s: Calls completed per second with concurrent callers.
     """
 
@@ -250,10 +250,10 @@
 
 
 def _summarise(times_ms: list[float], seconds: float) -> Path:
-    cuts = statistics.quantiles(times_ms, n=100)
+    percentiles = statistics.quantiles(times_ms, n=100)
     return Path(
-        round(cuts[49], 2),
-        round(cuts[98], 2),
+        round(percentiles[49], 2),
+        round(percentiles[98], 2),
         round(len(times_ms) / seconds, 1),
     )
 
--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -31,7 +31,7 @@
 
 BREAKS = (
     Break(
-        "a result has one position",
+        "a stored result is never overwritten",
         "batches/cache.py",
         "stores.Transaction(conditions, puts)",
         "stores.Transaction([], puts)",
@@ -445,7 +445,7 @@
         SITE + "test_leaving",
     ),
     Break(
-        "a starting node first reads what calls need",
+        "a starting node reads the data needed for calls first",
         "batches/cache.py",
         "        mirror.defer_prefix(records.PREFIX)\n",
         "",
--- a/bench/virtualfleet.py
+++ b/bench/virtualfleet.py
@@ -83,11 +83,11 @@
 
 
 async def _measure(nodes: int) -> Fleet:
-    size = clusters.ClusterSettings(
+    cluster_settings = clusters.ClusterSettings(
         nodes=nodes, zones=ZONES, engines=ZONES, trainers=0, window_s=60
     )
     plan = CountingPlan()
-    async with clusters.running(size, plan) as cluster:
+    async with clusters.running(cluster_settings, plan) as cluster:
         await trio.sleep(15)
         call_rates = await _measure_call_rates(cluster, plan)
         change_s = await _time_change(cluster, "customer-2", 11)
@@ -182,6 +182,7 @@
     count = max(1, min(NODES_PER_RACK, len(names) // 4))
     failed = names[2 :: max(1, len(names) // count)][:count]
     started_at = trio.current_time()
+    # Otherwise the cluster would restart the crashed nodes.
     cluster.network.on_crash = lambda _: None
     for name in failed:
         cluster.network.crash(name)
--- a/src/kingcupscale/cli.py
+++ b/src/kingcupscale/cli.py
@@ -1,4 +1,4 @@
-"""The ``kingcupscale`` command: parses arguments and maps errors to codes."""
+"""The ``kingcupscale`` command: its subcommands and exit codes."""
 
 import argparse
 from collections.abc import Sequence
--- a/src/kingcupscale/commands/config.py
+++ b/src/kingcupscale/commands/config.py
@@ -118,7 +118,11 @@
 
 
 def print_accepted(accepted: editor.AcceptedChange) -> None:
-    """Prints the revision of an accepted change and which nodes have it."""
+    """Prints the revision of an accepted change and its confirmations.
+
+    These are the number of nodes that have confirmed the change, and the names
+    of the nodes that have not.
+    """
     print(
         f"accepted as revision {accepted.revision}, in force on"
         f" {len(accepted.in_force)} nodes"
--- a/src/kingcupscale/commands/serving.py
+++ b/src/kingcupscale/commands/serving.py
@@ -1,7 +1,7 @@
 """The ``serve`` subcommand: runs a node on the platform.
 
-The platform starts nodes through ``main``, which imports only this subcommand
-to save memory.
+``deploy/node.py`` calls ``main`` and imports no other subcommand, which saves
+memory.
 """
 
 import argparse
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -50,7 +50,7 @@
             ("no key", ("status",), {connection.KEY_VARIABLE: ""}, 2, "KEY"),
             ("no node", ("status",), KEY, 2, "--node"),
             (
-                "nobody there",
+                "unreachable node",
                 ("status", "--node", "127.0.0.1:1"),
                 KEY,
                 3,
