--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Real node processes under random faults, on one machine."""
+"""Soak tests: real node processes on one machine, under random faults."""
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -32,8 +32,8 @@
         problems: Violated invariants, each with its time and details.
         once_statuses: Statuses of calls that may run at most once, by request
             id.
-        accepted: Number of items of each batch that was answered with 202.
-        refused: Batches whose latest submission was answered with 503.
+        accepted: Number of items by batch, for batches answered with 202.
+        refused: Batches whose latest response other than 202 was a 503.
         results_by_batch: Results read so far, in order of position.
         deleted_at: When the DELETE of a batch was answered.
         served: Single calls that were answered with status 200.
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -15,6 +15,9 @@
 class Faults:
     """Injects faults into a world at random.
 
+    Each fault is a method that takes a duration; faults without one, such as
+    ``reset_link``, ignore it.
+
     Args:
         world: The world under test.
         rng: Chooses the faults and their times.
--- a/tests/soak/node.py
+++ b/tests/soak/node.py
@@ -2,7 +2,7 @@
 
 ``python -m tests.soak.node OFFSET_FILE ...`` runs ``kingcupscale serve`` with
 the remaining arguments. OFFSET_FILE holds the seconds that are added to the
-wall clock; it is read at each clock reading.
+wall clock; the file is read again each time the clock is read.
 """
 
 import datetime
--- a/tests/soak/session.py
+++ b/tests/soak/session.py
@@ -16,8 +16,8 @@
 
 CALLERS = 3
 TRAINERS = 2
-# Within this time after the last fault, nodes must be ready and accepted
-# batches complete.
+# Time limit for the nodes to become ready, at the start and after the last
+# fault, and then for each accepted batch to complete.
 RECOVERY_S = 15.0
 # Limit on the resident memory of a node: its budget at the design size plus the
 # memory of modules that only tests import.
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -103,7 +103,10 @@
 
 
 class NodeProcess:
-    """One node: its process and the proxies on its connections."""
+    """One node: its process and its proxies to callers, store and cloud.
+
+    Peers connect to each other directly, without a proxy.
+    """
 
     def __init__(self, world, name, zone):
         self.world = world
@@ -125,7 +128,7 @@
         self.is_stop_requested = False
 
     def links(self):
-        """Returns the proxies on the connections of the node."""
+        """Returns the proxies to the callers, the store and the cloud."""
         return [self.caller_proxy, self.store_proxy, self.cloud_proxy]
 
     def write_settings(self):
@@ -223,6 +226,15 @@
         folder: Folder for settings and logs.
         nursery: Runs the fake services and the proxies.
         rng: Chooses the faults of the unreliable store.
+
+    Attributes:
+        violations: What backend servers received and must not receive.
+        runs: All requests that backend servers have started to execute.
+        orders: Orders that backend servers received, each with the server's id
+            and the time.
+        server_links: Proxies of the backend servers, by server id.
+        published_version: Latest weight version.
+        configuration_count: Number of configurations written.
     """
 
     def __init__(self, folder, nursery, rng):
