--- a/src/kingcupscale/node.py
+++ b/src/kingcupscale/node.py
@@ -1,4 +1,7 @@
-"""One node: every part wired together, listeners left to the daemon."""
+"""A node: creates and connects all its components and runs its tasks.
+
+The daemon adds the listeners.
+"""
 
 from collections.abc import Callable
 import functools
@@ -11,14 +14,14 @@
 from kingcupscale import events
 from kingcupscale import metrics
 from kingcupscale import settings as node_settings
-from kingcupscale.capacity import ordering
 from kingcupscale.capacity import zone as zones
+from kingcupscale.capacity import zonescaler
 from kingcupscale.configuration import admission
 from kingcupscale.configuration import editor
 from kingcupscale.configuration import keys
 from kingcupscale.configuration import log
 from kingcupscale.configuration import replica
-from kingcupscale.configuration import spreading
+from kingcupscale.configuration import replication
 from kingcupscale.duties import candidates
 from kingcupscale.duties import journal
 from kingcupscale.duties import lease
@@ -52,22 +55,25 @@
 from kingcupscale.usage import reporting
 from kingcupscale.web import httpclient
 
-ZONE_TICK_S = 0.5
-USAGE_TICK_S = 1.0
-DUTY_CHECK_S = 2.0
-DRAIN_POLL_S = 0.1
+# Interval at which a zone's lease holder runs the zone duty.
+ZONE_DUTY_INTERVAL_S = 0.5
+# Interval at which a shard's lease holder runs the usage duty.
+USAGE_DUTY_INTERVAL_S = 1.0
+# Interval at which the configuration is checked for new zones.
+NEW_ZONE_INTERVAL_S = 2.0
+DRAIN_POLL_INTERVAL_S = 0.1
 
 
 @attrs.frozen
-class Surroundings:
-    """What a node reaches the world by.
+class Dependencies:
+    """The external dependencies of a node.
 
     Attributes:
-        http_client: Carries HTTP requests.
-        peers: Calls other nodes.
-        clock: Tells the time.
-        rng: Spreads choices.
-        peer_address: ``host:port`` at which peers reach this node.
+        http_client: Sends HTTP requests.
+        peers: Sends calls to other nodes.
+        clock: The clock to use.
+        rng: Source of random choices.
+        peer_address: ``host:port`` of this node's listener for peers.
     """
 
     http_client: httpclient.HttpClient
@@ -78,43 +84,48 @@
 
 
 class Node:
-    """One node.
+    """A node of the service.
 
     Args:
-        settings: What it is told.
-        surroundings: What it reaches the world by.
-        peer_service: Where its handlers for peers are offered.
+        settings: The settings of the node.
+        dependencies: The external dependencies.
+        peer_service: Registers the handlers for calls from other nodes.
 
     Attributes:
-        entry: Answers callers and trainers.
-        operators: Answers operators.
+        incarnation: Start time in milliseconds; distinguishes restarts of a
+            node.
+        leases: The leases that the node campaigns for.
+        started_zones: Zones whose duty has been started.
+        drain_requested: Set to begin a planned stop.
         stopped: Set once a planned stop has ended.
+        caller_api: Handles requests from callers and trainers.
+        operators: Handles requests from operators.
     """
 
     def __init__(
         self,
         settings: node_settings.NodeSettings,
-        surroundings: Surroundings,
+        dependencies: Dependencies,
         peer_service: transport.PeerService,
     ) -> None:
         self.settings = settings
-        self.surroundings = surroundings
-        self.clock = surroundings.clock
+        self.dependencies = dependencies
+        self.clock = dependencies.clock
         self.peer_service = peer_service
         self.incarnation = int(self.clock.now().timestamp() * 1000)
         self.leases: list[lease.Lease] = []
-        self.duties: set[str] = set()
-        self.drain_asked = trio.Event()
+        self.started_zones: set[str] = set()
+        self.drain_requested = trio.Event()
         self.stopped = trio.Event()
-        self._make_platform()
+        self._make_platform_clients()
         self._make_membership()
         self._make_configuration()
         self._make_serving()
-        self._make_operating()
+        self._make_operator_api()
 
-    def _make_platform(self) -> None:
+    def _make_platform_clients(self) -> None:
         platform = self.settings.platform
-        http_client = self.surroundings.http_client
+        http_client = self.dependencies.http_client
         timeout_s = self.settings.timings.order_timeout_s
         self.store = keyvalue.HttpKeyValueStore(http_client, platform.key_value)
         self.directory = vmlist.HttpVmDirectory(http_client, platform.vm_list)
@@ -129,7 +140,7 @@
         timings = self.settings.timings
         me = members.Member(
             self.settings.name,
-            self.surroundings.peer_address,
+            self.dependencies.peer_address,
             self.settings.zone,
             self.settings.region,
             self.incarnation,
@@ -137,7 +148,7 @@
         self.members = members.Members(me, self.clock, timings.suspicion_s)
         self.gossip = gossip.Gossip(
             self.members,
-            self.surroundings.peers,
+            self.dependencies.peers,
             self.peer_service,
             list(self.settings.seeds),
             self.clock,
@@ -145,7 +156,7 @@
                 interval_s=timings.gossip_interval_s,
                 suspicion_s=timings.suspicion_s,
             ),
-            self.surroundings.rng,
+            self.dependencies.rng,
         )
 
     def _make_configuration(self) -> None:
@@ -156,7 +167,7 @@
             self.clock,
             self.settings.timings.isolation_bound_s,
         )
-        self.spreader = spreading.Spreader(
+        self.replicator = replication.ConfigurationReplicator(
             self.replica,
             self.admission,
             self.members,
@@ -165,12 +176,12 @@
             log.ChangeLog(self.store),
             self.directory,
             self.clock,
-            self.surroundings.rng,
+            self.dependencies.rng,
         )
-        self.editor = editor.Editor(self.spreader, self.clock)
+        self.editor = editor.Editor(self.replicator, self.clock)
 
     def _make_serving(self) -> None:
-        http_client = self.surroundings.http_client
+        http_client = self.dependencies.http_client
         name = f"{self.settings.name}/{self.incarnation}"
         self.metrics = metrics.Metrics(
             metrics.make_client(self.settings.statsd)
@@ -179,12 +190,12 @@
         self.counter_replicator = counterreplication.CounterReplicator(
             self.counters,
             self.members,
-            self.surroundings.peers,
+            self.dependencies.peers,
             self.peer_service,
             self.clock,
         )
         self.pools = services.Services(
-            self.replica, self.clock, self.surroundings.rng
+            self.replica, self.clock, self.dependencies.rng
         )
         key_ring = keys.KeyRing(self.replica)
         self.sessions = sessions.Sessions(key_ring)
@@ -221,16 +232,16 @@
             self.rollouts,
         )
 
-    def _make_operating(self) -> None:
+    def _make_operator_api(self) -> None:
         reporter = handover.HandoverReporter(
-            self.spreader, self.pools, self.store, self.clock
+            self.replicator, self.pools, self.store, self.clock
         )
         self.operators = api.OperatorApi(
             self.settings.operators,
             self.editor,
             reporter,
             self.read_status,
-            self.drain_asked.set,
+            self.drain_requested.set,
         )
 
     async def run(self) -> None:
@@ -240,50 +251,50 @@
             nursery.start_soon(self.pools.run)
             nursery.start_soon(self.rollouts.run)
             nursery.start_soon(self.counter_replicator.run)
-            nursery.start_soon(self._run_configured, nursery)
-            await self.drain_asked.wait()
+            nursery.start_soon(self._run_after_catch_up, nursery)
+            await self.drain_requested.wait()
             await self._drain()
             nursery.cancel_scope.cancel()
         self.stopped.set()
 
-    async def _run_configured(self, nursery: trio.Nursery) -> None:
-        await self.spreader.catch_up()
+    async def _run_after_catch_up(self, nursery: trio.Nursery) -> None:
+        await self.replicator.catch_up()
         events.log(
             events.Event.NODE_STARTED,
             node=self.settings.name,
             incarnation=self.incarnation,
             revision=self.replica.revision,
         )
-        nursery.start_soon(self.spreader.run)
-        nursery.start_soon(self.spreader.run_directory)
-        nursery.start_soon(self.editor.run_upkeep)
+        nursery.start_soon(self.replicator.run)
+        nursery.start_soon(self.replicator.run_vm_list_polling)
+        nursery.start_soon(self.editor.run_maintenance)
         for shard in range(self.settings.usage_shards):
             self._start_usage_duty(shard, nursery)
         while True:
             self._start_zone_duties(nursery)
-            await self.clock.sleep(DUTY_CHECK_S)
+            await self.clock.sleep(NEW_ZONE_INTERVAL_S)
 
     def _start_zone_duties(self, nursery: trio.Nursery) -> None:
         for zone in self.replica.document.zones:
-            if zone not in self.duties:
-                self.duties.add(zone)
+            if zone not in self.started_zones:
+                self.started_zones.add(zone)
                 self._start_zone_duty(zone, nursery)
 
     def _start_zone_duty(self, zone: str, nursery: trio.Nursery) -> None:
-        held = self._start_lease(f"zone/{zone}", zone, nursery)
+        managed_lease = self._start_lease(f"zone/{zone}", zone, nursery)
         order_sender = ordersender.OrderSender(
-            held, journal.Journal(self.store, held)
+            managed_lease, journal.Journal(self.store, managed_lease)
         )
         weights = activation.WeightActivator(
             zone,
             self.pools,
             self.publications,
-            self.surroundings.http_client,
+            self.dependencies.http_client,
             order_sender,
             self.clock,
             self.settings.timings.order_timeout_s,
         )
-        servers = ordering.Ordering(
+        servers = zonescaler.ZoneScaler(
             zone,
             self.pools,
             self.provider,
@@ -293,15 +304,17 @@
         )
         duty = zones.ZoneDuty(order_sender, weights, servers)
         nursery.start_soon(
-            runner.DutyRunner(held, duty, self.clock, ZONE_TICK_S).run
+            runner.DutyRunner(
+                managed_lease, duty, self.clock, ZONE_DUTY_INTERVAL_S
+            ).run
         )
 
     def _start_usage_duty(self, shard: int, nursery: trio.Nursery) -> None:
-        held = self._start_lease(f"usage/{shard}", "", nursery)
+        managed_lease = self._start_lease(f"usage/{shard}", "", nursery)
         duty = reporting.UsageDuty(
             shard,
             self.settings.usage_shards,
-            held,
+            managed_lease,
             self.store,
             self.intake,
             self.counter_replicator,
@@ -309,14 +322,16 @@
             self.settings.timings.usage_window_s,
         )
         nursery.start_soon(
-            runner.DutyRunner(held, duty, self.clock, USAGE_TICK_S).run
+            runner.DutyRunner(
+                managed_lease, duty, self.clock, USAGE_DUTY_INTERVAL_S
+            ).run
         )
 
     def _start_lease(
         self, name: str, zone: str, nursery: trio.Nursery
     ) -> lease.Lease:
         timings = self.settings.timings
-        held = lease.Lease(
+        managed_lease = lease.Lease(
             self.store,
             name,
             self.settings.name,
@@ -327,15 +342,23 @@
                 timings.order_timeout_s,
             ),
         )
-        self.leases.append(held)
+        self.leases.append(managed_lease)
         rule: Callable[[], bool] = functools.partial(
             candidates.is_candidate, name, self.members, zone
         )
-        nursery.start_soon(lease.LeaseManager(held, rule, self.clock).run)
-        return held
+        nursery.start_soon(
+            lease.LeaseManager(managed_lease, rule, self.clock).run
+        )
+        return managed_lease
 
     async def _drain(self) -> None:
-        """Ends everything in order: announce, finish, hand over, leave."""
+        """Stops the node after giving open requests time to finish.
+
+        The node reports that it is not ready. After the drain notice, it
+        refuses new requests, cancels its rollouts and waits for open requests,
+        up to the drain limit. Then it releases its leases, replicates the usage
+        counters and announces to its peers that it leaves.
+        """
         timings = self.settings.timings
         events.log(events.Event.NODE_DRAINING, node=self.settings.name)
         self.caller_api.is_unready = True
@@ -344,16 +367,16 @@
         self.rollouts.cancel_all()
         with trio.move_on_after(timings.drain_limit_s):
             while self.caller_api.active or self.sessions.open_sessions:
-                await self.clock.sleep(DRAIN_POLL_S)
+                await self.clock.sleep(DRAIN_POLL_INTERVAL_S)
         await self._release_leases()
         await self.counter_replicator.replicate(own_only=False)
         await self.gossip.leave()
         events.log(events.Event.NODE_STOPPED, node=self.settings.name)
 
     async def _release_leases(self) -> None:
-        for held in self.leases:
+        for managed_lease in self.leases:
             try:
-                await held.release()
+                await managed_lease.release()
             except calls.PlatformError as e:
                 events.log(
                     events.Event.STORE_FAILED,
@@ -361,14 +384,14 @@
                     reason=e.reason,
                 )
 
-    def read_status(self) -> messages.StatusAnswer:
-        """Returns how the node stands."""
+    def read_status(self) -> messages.StatusResponse:
+        """Returns the status of the node."""
         now = self.clock.monotonic()
-        return messages.StatusAnswer(
+        return messages.StatusResponse(
             self.settings.name,
             self.settings.zone,
             self.incarnation,
-            self.admission.is_open() and not self.caller_api.is_unready,
+            self.admission.is_admitting() and not self.caller_api.is_unready,
             self.caller_api.is_unready,
             self.replica.revision,
             self.admission.confirmed_age_s(),
--- a/src/kingcupscale/serving/generation.py
+++ b/src/kingcupscale/serving/generation.py
@@ -114,11 +114,11 @@
             ServiceError: If the response could not be completed.
         """
         pool = self.pools.get(job.service, document.ServiceKind.ENGINE)
-        pool.budget.record_request()
+        pool.retry_budget.record_request()
         received: list[str] = []
         excluded: set[str] = set()
         for attempt in range(MAX_ATTEMPTS):
-            if attempt and not pool.budget.try_spend():
+            if attempt and not pool.retry_budget.try_spend():
                 break
             slot_request = self._make_slot_request(job, excluded, len(received))
             try:
@@ -145,7 +145,7 @@
     ) -> scheduler.SlotRequest:
         affinity = job.affinity or job.prompt[:AFFINITY_PREFIX_CHARACTERS]
         requirements = routing.ServerRequirements(
-            hashing.short(affinity),
+            hashing.hex64(affinity),
             job.service_class.cheap,
             frozenset(excluded),
         )
@@ -210,6 +210,11 @@
         state: routing.ServerState,
         received: list[str],
     ) -> AsyncIterator[TokenChunk]:
+        """Yields the remaining chunks of a response from one engine.
+
+        The last chunk is yielded only once the engine's response has ended,
+        because a chunk after it makes the response invalid.
+        """
         generate_request = _make_request(job, received)
         request = message.json_request("/generate", generate_request)
         request.headers[ORGANISATION_HEADER] = job.label
--- a/src/kingcupscale/serving/routing.py
+++ b/src/kingcupscale/serving/routing.py
@@ -14,11 +14,15 @@
 from kingcupscale import rendezvous
 from kingcupscale.configuration import document
 
+# Time over which a load report loses its weight.
 LOAD_DECAY_S = 2.0
 MIN_EJECTION_S = 1.0
 MAX_EJECTION_S = 30.0
+# Fraction of a regular server's slots for requests that accept cheap servers.
 CHEAP_SLOT_FRACTION = 0.75
 MAX_AFFINITY_CANDIDATES = 2
+# Servers above this multiple of the mean utilisation get no requests by
+# affinity.
 BOUNDED_LOAD_FACTOR = 1.25
 
 
@@ -35,7 +39,8 @@
         reported_at: Monotonic time of the last load report.
         failures: Number of consecutive failures.
         ejected_until: Monotonic time until which it gets no requests.
-        is_leaving: Whether it is draining before its shutdown.
+        is_leaving: Whether it gets no new requests because it is draining or
+            was removed from the configuration.
     """
 
     name: str
@@ -57,7 +62,10 @@
         return self.in_flight + self.other_requests * weight
 
     def slots(self) -> int:
-        """Returns the number of usable slots; one after a failure."""
+        """Returns the number of usable slots.
+
+        After a failure it is one, until a request succeeds.
+        """
         return 1 if self.failures else self.server.slots
 
     def utilisation(self, now: float) -> float:
@@ -67,7 +75,7 @@
 
 @attrs.frozen
 class ServerRequirements:
-    """A request's requirements of a server.
+    """A request's constraints and preferences in the choice of a server.
 
     Attributes:
         affinity: Digest; requests with the same digest prefer the same
@@ -101,7 +109,11 @@
     def update(
         self, servers: dict[str, document.BackendServer], leaving: set[str]
     ) -> None:
-        """Applies the configured servers and the addresses of leaving ones."""
+        """Applies the configured servers and the addresses of leaving ones.
+
+        A leaving server gets requests again only if it is removed and added
+        again or changes its address.
+        """
         for name in self.servers.keys() - servers.keys():
             self.servers.pop(name).is_leaving = True
         for name, server in servers.items():
@@ -114,10 +126,10 @@
             self.servers[name].is_leaving |= is_leaving
 
     def usable(self, requirements: ServerRequirements) -> list[ServerState]:
-        """Returns the servers that meet the requirements, busy or not.
+        """Returns the servers that meet the requirements.
 
-        Cheap servers are used for other requests only if no regular server is
-        left.
+        Includes busy and ejected servers. A request that does not accept cheap
+        servers gets them only if no regular server is left.
         """
         servers = [
             state
@@ -130,7 +142,10 @@
         return servers
 
     def choose(self, requirements: ServerRequirements) -> ServerState | None:
-        """Returns a server with a free slot for a request, or None."""
+        """Returns a server with a free slot for a request, or None.
+
+        Requests that accept cheap servers prefer them.
+        """
         now = self.clock.monotonic()
         free = [
             s
@@ -143,7 +158,7 @@
             free = [s for s in free if s.server.cheap] or free
         if requirements.affinity:
             return self._choose_by_affinity(free, requirements.affinity, now)
-        return self._choose_least_loaded(free, now)
+        return self._choose_less_loaded(free, now)
 
     def _has_free_slot(
         self, state: ServerState, requirements: ServerRequirements, now: float
@@ -160,8 +175,8 @@
     ) -> ServerState:
         """Returns a server that probably caches the prefix.
 
-        Falls back to the least loaded server if the preferred ones exceed the
-        mean utilisation by more than ``BOUNDED_LOAD_FACTOR``.
+        Falls back to the less loaded of two random servers if the preferred
+        ones exceed ``BOUNDED_LOAD_FACTOR`` times the mean utilisation.
         """
         by_name = {state.name: state for state in free}
         mean = sum(s.utilisation(now) for s in free) / len(free)
@@ -171,11 +186,12 @@
         ]:
             if by_name[name].utilisation(now) <= bound:
                 return by_name[name]
-        return self._choose_least_loaded(free, now)
+        return self._choose_less_loaded(free, now)
 
-    def _choose_least_loaded(
+    def _choose_less_loaded(
         self, free: Iterable[ServerState], now: float
     ) -> ServerState:
+        """Returns the less loaded of two random servers."""
         servers = list(free)
         pair = self.rng.sample(servers, min(2, len(servers)))
         return min(pair, key=lambda state: state.utilisation(now))
--- a/src/kingcupscale/serving/services.py
+++ b/src/kingcupscale/serving/services.py
@@ -19,7 +19,7 @@
         service: Configuration of the service.
         router: Chooses the servers.
         scheduler: Queues the requests.
-        budget: Limits the retries.
+        retry_budget: Limits the retries.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         self.service = document.Service(document.ServiceKind.PLAIN)
         self.router = routing.Router(node, clock, rng)
         self.scheduler = scheduler.Scheduler(self.router, clock)
-        self.budget = retrybudget.RetryBudget(clock)
+        self.retry_budget = retrybudget.RetryBudget(clock)
 
 
 class Services:
@@ -90,7 +90,11 @@
         return pool
 
     async def run(self) -> None:
-        """Dispatches queued requests of all services until cancelled."""
+        """Dispatches queued requests of all services until cancelled.
+
+        Runs at an interval because a server can also become usable with time
+        alone, when its ejection ends or a load report loses its weight.
+        """
         while True:
             await self.clock.sleep(scheduler.DISPATCH_INTERVAL_S)
             for pool in list(self.pools.values()):
--- a/tests/platform/harness.py
+++ b/tests/platform/harness.py
@@ -119,7 +119,7 @@
     def __init__(self, site, name, zone):
         self.site = site
         self.name = name
-        settings = deployment.SiteSettings(
+        settings = deployment.ProcessSettings(
             node=name,
             role="node",
             zone=zone,
@@ -129,7 +129,7 @@
             store=STORE,
             cloud=CLOUD,
             seeds=(),
-            least_lease_s=1.0,
+            min_lease_s=1.0,
             value_bytes=1 << 20,
             heartbeat_s=1.2,
             reports_usage=True,
@@ -313,5 +313,5 @@
 
 
 def text_of(length):
-    """Returns the complete text of a server's stream of so many events."""
+    """Returns the complete text of a server's stream with ``length`` events."""
     return "\n".join(f"t{number}" for number in range(1, length + 1))
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,4 +1,8 @@
-"""Serving: refusals that are true, whole answers, one run at most."""
+"""Requests from callers to engines and plain services.
+
+Guards against refused requests that ran, incomplete or mixed-up responses, and
+non-idempotent calls that run twice, when servers or responses fail.
+"""
 
 import unittest
 
@@ -22,7 +26,7 @@
 QUOTES = "/services/shop-app/quotes"
 
 
-async def ask(cluster, request, key=None, node="node-1"):
+async def send(cluster, request, key=None, node="node-1"):
     if key is not None:
         request.headers["authorization"] = f"Bearer {key}"
     return await httpclient.fetch(
@@ -99,7 +103,7 @@
                     {} if key else dict(headers),
                     body,
                 )
-                response = await ask(cluster, request, key)
+                response = await send(cluster, request, key)
                 error = read_error(response)
                 self.assertEqual(response.status, code.status)
                 self.assertEqual(error["code"], code.number)
@@ -114,9 +118,7 @@
             ("path", "/services/shop-app/{}", "", False),
         ]
     )
-    def test_key_in_what_a_server_would_see_is_refused(
-        self, _, path, query, in_body
-    ):
+    def test_key_in_forwarded_data_is_refused(self, _, path, query, in_body):
         async def main():
             async with clusters.running(ONE_NODE) as cluster:
                 key = cluster.issued[0].text
@@ -127,14 +129,14 @@
                     {},
                     key.encode() if in_body else b"",
                 )
-                response = await ask(cluster, request, key)
+                response = await send(cluster, request, key)
                 self.assertEqual(read_error(response)["code"], 1104)
                 self.assertEqual(executions(cluster), [])
 
         virtualtime.run(main)
 
     @virtual.on_virtual_time
-    async def test_open_route_needs_no_key_and_nothing_beside_it_is_open(self):
+    async def test_open_route_needs_no_key_and_other_paths_are_unknown(self):
         async with clusters.running(ONE_NODE) as cluster:
             route = {
                 "service": "shop-app",
@@ -154,13 +156,13 @@
                 "/open/shop-app/catalogues",
             ):
                 request = message.Request("GET", path)
-                statuses.append((await ask(cluster, request)).status)
+                statuses.append((await send(cluster, request)).status)
             self.assertEqual(statuses, [200, 404, 404, 404, 404])
             labels = {e.organisation for e in executions(cluster)}
             self.assertEqual(labels, {"org-customer-2"})
 
     @virtual.on_virtual_time
-    async def test_chat_stream_comes_in_pieces_with_an_end_of_its_own(self):
+    async def test_chat_stream_has_several_chunks_and_an_end_event(self):
         async with clusters.running(ONE_NODE) as cluster:
             body = {
                 "model": "plume-llm",
@@ -173,7 +175,7 @@
                     "/v1/chat/completions", {**body, "stream": is_stream}
                 )
                 key = cluster.issued[0].text
-                answers.append((await ask(cluster, request, key)).body)
+                answers.append((await send(cluster, request, key)).body)
             *events, done = answers[1].removesuffix(b"\n\n").split(b"\n\n")
             self.assertEqual(done, b"data: [DONE]")
             choices = [
@@ -186,9 +188,9 @@
             self.assertEqual(deltas[-1], {})
             reasons = [choice["finish_reason"] for choice in choices]
             self.assertEqual(reasons, [None] * (len(reasons) - 1) + ["stop"])
-            whole = orjson.loads(answers[0])["choices"][0]["message"]
+            full = orjson.loads(answers[0])["choices"][0]["message"]
             text = "".join(delta.get("content", "") for delta in deltas)
-            self.assertEqual(text, whole["content"])
+            self.assertEqual(text, full["content"])
 
     @virtual.on_virtual_time
     async def test_streams_of_an_organisation_are_limited(self):
@@ -206,7 +208,7 @@
             async def call():
                 body = {"model": "plume-llm", "prompt": "x", "max_tokens": 8}
                 request = message.json_request("/v1/completions", body)
-                response = await ask(cluster, request, cluster.issued[0].text)
+                response = await send(cluster, request, cluster.issued[0].text)
                 codes.append(response.status)
 
             async with trio.open_nursery() as nursery:
@@ -237,7 +239,7 @@
         virtualtime.run(main)
 
     @parameterized.parameterized.expand([(fault,) for fault in faults.Fault])
-    def test_retries_by_key_over_nodes_run_once(self, fault):
+    def test_retries_with_a_key_on_several_nodes_run_once(self, fault):
         async def main():
             place = ("node-1", "POST /quotes", 0)
             plan = faults.FaultPlan({place: fault})
@@ -252,7 +254,7 @@
         virtualtime.run(main)
 
     @virtual.on_virtual_time
-    async def test_retry_by_key_gets_the_first_answer(self):
+    async def test_retry_with_a_key_returns_the_first_response(self):
         async with clusters.running(ONE_NODE) as cluster:
             key = cluster.issued[0].text
             bodies = set()
@@ -260,35 +262,35 @@
                 request = message.Request(
                     "POST", QUOTES, "", {"idempotency-key": "k"}, b"{}"
                 )
-                bodies.add((await ask(cluster, request, key)).body)
+                bodies.add((await send(cluster, request, key)).body)
             self.assertEqual(len(bodies), 1)
             self.assertEqual(len(executions(cluster)), 1)
             other = message.Request(
                 "POST", QUOTES, "", {"idempotency-key": "k"}, b"[]"
             )
-            response = await ask(cluster, other, key)
+            response = await send(cluster, other, key)
             self.assertEqual(read_error(response)["code"], 1401)
 
     @virtual.on_virtual_time
-    async def test_claim_in_an_outage_is_refused_and_not_run(self):
+    async def test_claim_during_a_store_outage_is_refused_and_not_run(self):
         async with clusters.running(ONE_NODE) as cluster:
             cluster.world.store.down = True
             request = message.Request(
                 "POST", QUOTES, "", {"idempotency-key": "k"}, b"{}"
             )
-            response = await ask(cluster, request, cluster.issued[0].text)
+            response = await send(cluster, request, cluster.issued[0].text)
             self.assertEqual(read_error(response)["code"], 1404)
             self.assertEqual(read_error(response)["run"], "not_run")
             self.assertEqual(executions(cluster), [])
 
     @virtual.on_virtual_time
-    async def test_keys_of_two_organisations_do_not_clash(self):
+    async def test_idempotency_keys_of_organisations_are_independent(self):
         async with clusters.running(ONE_NODE) as cluster:
             for issued in cluster.issued:
                 request = message.Request(
                     "POST", QUOTES, "", {"idempotency-key": "k"}, b"{}"
                 )
-                response = await ask(cluster, request, issued.text)
+                response = await send(cluster, request, issued.text)
                 digest = fake_service.body_digest(b"{}")
                 self.assertIn(digest.encode(), response.body)
                 self.assertIn(issued.label.encode(), response.body)
@@ -305,7 +307,7 @@
             (faults.Fault.REQUEST_LATE,),
         ]
     )
-    def test_broken_answer_is_made_whole_elsewhere(self, fault):
+    def test_failed_response_is_completed_on_another_engine(self, fault):
         async def main():
             place = ("node-1", "POST /generate", 0)
             plan = faults.FaultPlan({place: fault})
@@ -318,7 +320,7 @@
         virtualtime.run(main)
 
     @virtual.on_virtual_time
-    async def test_leaving_engine_gets_nothing_new(self):
+    async def test_leaving_engine_gets_no_new_requests(self):
         async with clusters.running(ONE_NODE) as cluster:
             cluster.world.directory.mark_leaving("plume-1:80")
             cluster.record.leaving["plume-1"] = cluster.clock.monotonic()
@@ -338,15 +340,15 @@
             await trio.sleep(5)
             body = {"model": "plume-llm", "prompt": "x"}
             request = message.json_request("/v1/completions", body)
-            began_at = trio.current_time()
-            response = await ask(cluster, request, cluster.issued[0].text)
+            started_at = trio.current_time()
+            response = await send(cluster, request, cluster.issued[0].text)
             error = read_error(response)
             self.assertEqual((error["code"], error["run"]), (1204, "not_run"))
             self.assertIn("retry-after", response.headers)
-            self.assertLess(trio.current_time() - began_at, 1)
+            self.assertLess(trio.current_time() - started_at, 1)
 
     @virtual.on_virtual_time
-    async def test_failing_engine_is_ejected_and_let_back(self):
+    async def test_failing_engine_is_ejected_and_readmitted(self):
         async with clusters.running(ONE_NODE) as cluster:
             cluster.network.crash("plume-1")
             for _ in range(10):
@@ -364,7 +366,7 @@
 
 class RetryBudgetTest(unittest.TestCase):
     @virtual.on_virtual_time
-    async def test_retries_stay_a_share_of_the_requests(self):
+    async def test_retries_are_limited_by_the_request_count(self):
         budget = retrybudget.RetryBudget(virtualtime.VirtualClock())
         taken = 0
         for _ in range(1000):
@@ -378,7 +380,7 @@
 
 class PlannedStopTest(unittest.TestCase):
     @virtual.on_virtual_time
-    async def test_drain_cuts_no_request_and_loses_no_usage(self):
+    async def test_drain_interrupts_no_request_and_loses_no_usage(self):
         size = clusters.ClusterSettings(trainers=0)
         size.engine_speed.stream_tokens_per_s = 4
         async with clusters.running(size) as cluster:
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -1,4 +1,8 @@
-"""A whole small session on virtual time keeps every promise."""
+"""Callers, trainers and usage reports together, on virtual time.
+
+Guards against violated invariants in normal operation, and against usage
+reports that differ from the tokens that the engines generated.
+"""
 
 import unittest
 
