--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, each a command: ``python -m bench.NAME --json``."""
+"""Benchmarks and fault injection, run as ``python -m bench.NAME --json``."""
--- a/bench/days.py
+++ b/bench/days.py
@@ -1,7 +1,7 @@
-"""Days of our own: each kind of trouble early, late and twice.
+"""Generates fault scenarios ("days") with each kind of fault at three times.
 
-``python -m bench.days`` writes the files in ``deploy/days`` and the table of
-kinds by moments in ``docs/KINDS.md``.
+``python -m bench.days`` writes the scenario files in ``deploy/days``, and a
+table of the kinds and their times to ``docs/KINDS.md``.
 """
 
 import pathlib
@@ -11,25 +11,25 @@
 ROOT = pathlib.Path(__file__).parent.parent
 FOLDER = ROOT / "deploy" / "days"
 TABLE = ROOT / "docs" / "KINDS.md"
-# Seconds from the start of traffic: while the first batches are run, in the
-# middle, and as the last ones of a day of 42 s are.
+# Start times of faults, in seconds from the start of traffic: while the first
+# batches run, in the middle, and while the last batches of a 42 s day run.
 EARLY_S, MIDDLE_S, LATE_S = 3.0, 17.0, 31.0
-KINDS_A_DAY = 3
-APART_S = 2.5
+KINDS_PER_DAY = 3
+SPACING_S = 2.5
 
 
 @attrs.frozen
 class Kind:
-    """A kind of trouble and the words that go with it.
+    """A kind of fault or of planned work.
 
     Attributes:
-        name: Its name at the bench.
-        words: Further fields, as TOML.
-        is_planned: Whether it is planned work.
+        name: The ``kind`` field of the scenario file.
+        parameters: Further fields of the entry, as TOML.
+        is_planned: Whether it is planned work rather than a fault.
     """
 
     name: str
-    words: str = ""
+    parameters: str = ""
     is_planned: bool = False
 
 
@@ -73,7 +73,8 @@
     Kind("clock_step", "x = 900.0, share = 0.3, for_s = 4.0"),
     Kind("cloud_slow", "x = 50.0, for_s = 4.0"),
     Kind("node_freeze", 'count = 1, for_s = 3.0, how = "renewed"'),
-    # Those below come on grown sites only, so they share no day with others.
+    # The kinds below occur only on sites that have grown, so they are kept on
+    # days of their own.
     Kind("srv_flap", "share = 0.1, gap_s = 1.4, for_s = 5.0"),
     Kind("srv_lying_health", 'share = 0.1, for_s = 5.0, how = "hang"'),
     Kind("config_storm", "gap_s = 0.3, for_s = 3.0", True),
@@ -82,26 +83,26 @@
 
 
 def groups() -> list[tuple[Kind, ...]]:
-    """Returns the kinds of each day."""
+    """Returns the kinds, grouped by day."""
     return [
-        KINDS[start : start + KINDS_A_DAY]
-        for start in range(0, len(KINDS), KINDS_A_DAY)
+        KINDS[start : start + KINDS_PER_DAY]
+        for start in range(0, len(KINDS), KINDS_PER_DAY)
     ]
 
 
 def make_day(name: str, kinds: tuple[Kind, ...], seed: int) -> str:
-    """Returns a day on which each kind strikes early, in the middle and late.
+    """Returns a scenario in which each kind occurs early, mid-day and late.
 
-    The times in the middle overlap with those of the other kinds.
+    Mid-day, the kinds overlap: they start close together.
     """
     rows: dict[bool, list[str]] = {False: [], True: []}
     for number, kind in enumerate(kinds):
         for begin_s in (EARLY_S, MIDDLE_S, LATE_S):
-            apart_s = APART_S if begin_s != MIDDLE_S else APART_S / 5
-            at_s = begin_s + apart_s * number
-            words = f", {kind.words}" if kind.words else ""
+            spacing_s = SPACING_S if begin_s != MIDDLE_S else SPACING_S / 5
+            at_s = begin_s + spacing_s * number
+            parameters = f", {kind.parameters}" if kind.parameters else ""
             rows[kind.is_planned].append(
-                f'  {{ at = {at_s}, kind = "{kind.name}"{words} }},'
+                f'  {{ at = {at_s}, kind = "{kind.name}"{parameters} }},'
             )
     lines = [f'name = "{name}"', 'slot = "trouble"', f"seed = {seed}"]
     lines += ["plan = [", *rows[True], "]", "faults = [", *rows[False], "]"]
@@ -109,15 +110,15 @@
 
 
 def make_table() -> str:
-    """Returns the table of kinds by the moments at which the days have them."""
+    """Returns the table of kinds and the times at which they occur."""
     lines = [
-        "# Kinds of trouble by moment",
+        "# Kinds of faults by time",
         "",
         "Written by `python -m bench.days`, with the days in `deploy/days`;",
-        "each is played by `fleetbench run SITE deploy/days/NAME.toml`. Early:",
-        "while the first batches run; middle: beside the other kinds of its",
-        "day; late: as the last batches run. What the last plays showed stands",
-        "below.",
+        "each is run by `fleetbench run SITE deploy/days/NAME.toml`. Early:",
+        "while the first batches run; middle: together with the other kinds of",
+        "its day; late: while the last batches run. The latest results are",
+        "listed below.",
         "",
         "| kind | day | early, s | middle, s | late, s |",
         "|---|---|---|---|---|",
@@ -125,9 +126,9 @@
     for index, kinds in enumerate(groups(), 1):
         for number, kind in enumerate(kinds):
             times = [
-                f"{EARLY_S + APART_S * number:g}",
-                f"{MIDDLE_S + APART_S / 5 * number:g}",
-                f"{LATE_S + APART_S * number:g}",
+                f"{EARLY_S + SPACING_S * number:g}",
+                f"{MIDDLE_S + SPACING_S / 5 * number:g}",
+                f"{LATE_S + SPACING_S * number:g}",
             ]
             lines.append(
                 f"| `{kind.name}` | kinds-{index:02d} | {' | '.join(times)} |"
@@ -136,18 +137,18 @@
 
 
 def main() -> None:
-    """Writes the days, and the table unless a note stands under it."""
+    """Writes the days and the table; keeps the results below the table."""
     FOLDER.mkdir(exist_ok=True)
     for index, kinds in enumerate(groups(), 1):
         name = f"kinds-{index:02d}"
         text = make_day(name, kinds, 1000 + index)
         (FOLDER / f"{name}.toml").write_text(text, encoding="utf-8")
     marker = "\n## Plays\n"
-    note = ""
+    results = ""
     if TABLE.exists():
         _, found, rest = TABLE.read_text(encoding="utf-8").partition(marker)
-        note = found + rest
-    TABLE.write_text(make_table() + note, encoding="utf-8")
+        results = found + rest
+    TABLE.write_text(make_table() + results, encoding="utf-8")
 
 
 if __name__ == "__main__":
--- a/bench/deployment.py
+++ b/bench/deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment of real processes on loopback for benches and tests."""
+"""Runs a small deployment as processes on loopback for benchmarks and tests."""
 
 from collections.abc import Iterator
 import contextlib
@@ -30,33 +30,34 @@
 
 @attrs.define
 class Deployment:
-    """Addresses and processes of what runs.
+    """A running deployment: its processes, configuration and keys.
 
     Attributes:
         nodes: Settings of each node.
         pids: Process id of each node.
-        stand_ins: Process id of the stand-ins.
-        tables: The configuration in force.
-        issued: Keys of organisations.
-        trainer_keys: Keys of trainers.
+        fakes_pid: Process id of the fakes of the platform and the backend
+            servers.
+        tables: The configuration tables in force.
+        issued: API keys of organisations.
+        trainer_keys: API keys of trainers.
     """
 
     nodes: list[settings.NodeSettings]
     pids: list[int]
-    stand_ins: int
+    fakes_pid: int
     tables: dict[str, Any]
     issued: list[sample.Issued]
     trainer_keys: list[sample.Issued]
 
     def engine_addresses(self) -> list[str]:
-        """Returns the engines' addresses."""
+        """Returns the addresses of the engines."""
         service = self.tables["services"][sample.ENGINE_SERVICE]
         return [s["address"] for s in service["backend_servers"].values()]
 
     def operator(
         self, number: int, http_client: httpclient.HttpClient
     ) -> callers.Operator:
-        """Returns an operator at one node."""
+        """Returns an operator client of one node."""
         return callers.Operator(
             http_client,
             self.nodes[number].listeners.operators,
@@ -67,7 +68,11 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Returns ports that the system has free, all different."""
+    """Returns different ports that are free on loopback.
+
+    All sockets stay bound until the last port is chosen, so that the system
+    assigns no port twice.
+    """
     with contextlib.ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
         for sock in sockets:
@@ -80,18 +85,18 @@
 
 
 def make_node_settings(
-    ports: list[str], platform: settings.Platform
+    addresses: list[str], platform: settings.Platform
 ) -> list[settings.NodeSettings]:
-    """Returns settings of nodes, each with three of the ports."""
-    count = len(ports) // 3
-    seeds = ports[2::3][:3]
+    """Returns settings of nodes, with three of the listener addresses each."""
+    count = len(addresses) // 3
+    seeds = addresses[2::3][:3]
     key = settings.OperatorKey(SALT, keys.digest(SALT, OPERATOR_KEY))
     return [
         settings.NodeSettings(
             codec.Name(f"node-{number + 1}"),
             codec.Name(sample.ZONES[number % ZONES]),
             codec.Name(sample.REGION),
-            settings.Listeners(*ports[3 * number : 3 * number + 3]),
+            settings.Listeners(*addresses[3 * number : 3 * number + 3]),
             platform,
             seeds,
             {codec.Name("anna"): key},
@@ -101,12 +106,17 @@
     ]
 
 
-def make_tables(ports: list[str], engines: int) -> dict[str, Any]:
-    """Returns a configuration with a backend server at each of the ports."""
-    servers = len(ports) - engines
+def make_tables(addresses: list[str], engines: int) -> dict[str, Any]:
+    """Returns a configuration with a backend server at each address.
+
+    Args:
+        addresses: The addresses, those of the engines first.
+        engines: Number of engines.
+    """
+    servers = len(addresses) - engines
     return sample.make_tables(
-        {f"plume-{i + 1}": ports[i] for i in range(engines)},
-        {f"shop-{i + 1}": ports[engines + i] for i in range(servers)},
+        {f"plume-{i + 1}": addresses[i] for i in range(engines)},
+        {f"shop-{i + 1}": addresses[engines + i] for i in range(servers)},
     )
 
 
@@ -114,23 +124,23 @@
 def running(
     folder: pathlib.Path, nodes: int, engines: int = 2, servers: int = 2
 ) -> Iterator[Deployment]:
-    """Runs nodes and stand-ins as processes for the length of a block.
+    """Runs nodes and fakes as processes until the context exits.
 
     Args:
-        folder: Where their settings are written.
-        nodes: How many nodes.
-        engines: How many model engines.
-        servers: How many plain servers.
+        folder: Directory for the settings files.
+        nodes: Number of nodes.
+        engines: Number of model engines.
+        servers: Number of backend servers of plain services.
     """
     count = engines + servers + 5 + 3 * nodes
-    ports = [_address(port) for port in free_ports(count)]
-    tables = make_tables(ports[: engines + servers], engines)
-    del ports[: engines + servers]
+    addresses = [_address(port) for port in free_ports(count)]
+    tables = make_tables(addresses[: engines + servers], engines)
+    del addresses[: engines + servers]
     names = ("customer-1", "customer-2")
     issued = [sample.add_organisation(tables, n, "customer") for n in names]
     trainer = sample.add_trainer(tables, "trainer-1", "customer-1")
-    platform = settings.Platform(*ports[:5])
-    node_settings = make_node_settings(ports[5:], platform)
+    platform = settings.Platform(*addresses[:5])
+    node_settings = make_node_settings(addresses[5:], platform)
     write_toml(folder / "tables.toml", tables)
     write_toml(
         folder / "standins.toml",
@@ -141,22 +151,22 @@
     )
     with contextlib.ExitStack() as stack:
         command = ("kingcupscale", "standins", "--settings")
-        stand_ins = stack.enter_context(
-            processes.started(*command, str(folder / "standins.toml"))
+        fakes_process = stack.enter_context(
+            processes.run_module(*command, str(folder / "standins.toml"))
         )
         node_processes = []
         for each in node_settings:
             path = folder / f"{each.name}.toml"
             write_toml(path, codec.unstructure(each))
             process = stack.enter_context(
-                processes.started(
+                processes.run_module(
                     "kingcupscale", "node", "--settings", str(path)
                 )
             )
             node_processes.append(process)
         pids = [process.pid for process in node_processes]
         deployment = Deployment(
-            node_settings, pids, stand_ins.pid, tables, issued, [trainer]
+            node_settings, pids, fakes_process.pid, tables, issued, [trainer]
         )
         trio.run(_configure, deployment)
         yield deployment
@@ -165,7 +175,7 @@
 
 
 def write_toml(path: pathlib.Path, tables: dict[str, Any]) -> None:
-    """Writes plain tables as TOML."""
+    """Writes nested tables as TOML."""
     lines: list[str] = []
     _add_table(lines, "", tables)
     path.write_text("\n".join(lines) + "\n", encoding="utf-8")
@@ -190,7 +200,7 @@
     deadline = time.monotonic() + READY_LIMIT_S
     with trio.fail_after(READY_LIMIT_S):
         for operator in operators:
-            await _wait_for(operator, len(operators))
+            await _wait_until_joined(operator, len(operators))
         while True:
             response = await operators[0].apply(deployment.tables, "bench")
             if response.status == 200:
@@ -201,7 +211,7 @@
     await http_client.aclose()
 
 
-async def _wait_for(operator: callers.Operator, members: int) -> None:
+async def _wait_until_joined(operator: callers.Operator, members: int) -> None:
     while True:
         try:
             status = await operator.status()
--- a/bench/filters.py
+++ b/bench/filters.py
@@ -1,9 +1,10 @@
-"""Probabilistic filters against exact sets and against no index at all.
+"""Compares probabilistic filters with exact sets and with no index.
 
-Two uses are weighed: keys withdrawn while the store is away, and which engine
-caches which prompt prefix. The filter is a replicated grow-only Bloom filter,
-after Xiong, "Conflict-Free Replicated Probabilistic Filter": merging is a
-bitwise or, and it never forgets an entry.
+Two uses are compared: the set of keys withdrawn while the store is unreachable,
+and the index of prompt prefixes that each engine caches. The filter is a
+replicated grow-only Bloom filter, after Xiong, "Conflict-Free Replicated
+Probabilistic Filter": replicas are merged by a bitwise or, and entries cannot
+be removed.
 """
 
 import argparse
@@ -23,17 +24,17 @@
 CACHE_ENTRIES = 256
 PREFIXES = 20_000
 REQUESTS = 24_000
-INDEX_EVERY = 2_000
+INDEX_INTERVAL = 2_000
 WITHDRAWN = 200
 VALID_KEYS = 100_000
 
 
 class BloomFilter:
-    """A grow-only filter that merges by a bitwise or.
+    """A grow-only Bloom filter whose replicas merge by a bitwise or.
 
     Args:
-        entries: How many it is made for.
-        false_positives: Share of strangers it may take for entries.
+        entries: Number of entries that the filter is sized for.
+        false_positives: Target false-positive rate at that number of entries.
     """
 
     def __init__(self, entries: int, false_positives: float) -> None:
@@ -53,7 +54,7 @@
         self.bits |= self._mask(text)
 
     def merge(self, other: "BloomFilter") -> None:
-        """Takes in another replica."""
+        """Merges another replica into this one."""
         self.bits |= other.bits
 
     def __contains__(self, text: str) -> bool:
@@ -62,14 +63,15 @@
 
 
 @attrs.frozen
-class Withdrawn:
-    """Keeping withdrawn keys.
+class WithdrawnKeysResult:
+    """Result of one way to store withdrawn keys.
 
     Attributes:
         way: Exact set or filter.
-        bytes: Size of what travels.
-        lookup_us: Time to look one key up.
-        refused_wrongly: Of ``VALID_KEYS`` valid keys.
+        bytes: Size of the set when sent to another node.
+        lookup_us: Time to look up one key.
+        refused_wrongly: Number of false positives among ``VALID_KEYS`` valid
+            keys.
     """
 
     way: str
@@ -79,13 +81,13 @@
 
 
 @attrs.frozen
-class Affinity:
-    """Finding the engine that caches a prefix.
+class PrefixAffinityResult:
+    """Result of one way to find an engine that caches a prefix.
 
     Attributes:
         way: No index, exact index or filters.
-        hit_share: Share of requests that found their prefix cached.
-        state_kb: What one node keeps for a zone's engines.
+        hit_share: Fraction of requests whose prefix was cached.
+        state_kb: Size of one node's index of the engines of a zone.
         decide_us: Time to choose an engine.
     """
 
@@ -95,8 +97,8 @@
     decide_us: float
 
 
-def measure_withdrawn(false_positives: float) -> list[Withdrawn]:
-    """Returns both ways of keeping withdrawn keys."""
+def measure_withdrawn(false_positives: float) -> list[WithdrawnKeysResult]:
+    """Measures an exact set and a filter of withdrawn keys."""
     keys = [f"customer-{number}-key" for number in range(WITHDRAWN)]
     valid = [f"valid-{number}-key" for number in range(VALID_KEYS)]
     exact = set(keys)
@@ -105,24 +107,31 @@
         bloom.add(key)
     size = sum(len(key) + 2 for key in keys)
     return [
-        Withdrawn("exact set", size, *_look_up(exact, valid)),
-        Withdrawn(
+        WithdrawnKeysResult("exact set", size, *_time_lookups(exact, valid)),
+        WithdrawnKeysResult(
             f"filter at {false_positives:g}",
             bloom.size // 8,
-            *_look_up(bloom, valid),
+            *_time_lookups(bloom, valid),
         ),
     ]
 
 
-def _look_up(index: set[str] | BloomFilter, keys: list[str]) -> tuple:
-    began_at = time.perf_counter()
+def _time_lookups(index: set[str] | BloomFilter, keys: list[str]) -> tuple:
+    start = time.perf_counter()
     found = sum(key in index for key in keys)
-    elapsed = time.perf_counter() - began_at
+    elapsed = time.perf_counter() - start
     return round(1e6 * elapsed / len(keys), 2), found
 
 
 class Fleet:
-    """Engines with caches, and an index of them that lags."""
+    """Simulated engines with prefix caches, and an outdated index of these.
+
+    Attributes:
+        caches: The cached prefixes of each engine, in LRU order.
+        loads: Requests served by each engine.
+        holders: The exact index: engines by prefix.
+        filters: The filter of each engine's prefixes.
+    """
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -133,12 +142,15 @@
         self.filters: dict[str, BloomFilter] = {}
 
     def draw_prefix(self) -> str:
-        """Returns a prefix, a few of them far more often than most."""
+        """Returns a random prefix from a skewed distribution.
+
+        A few prefixes are far more frequent than most.
+        """
         rank = int(PREFIXES * self.rng.random() ** 4)
         return f"prefix-{rank}"
 
     def serve(self, name: str, prefix: str) -> bool:
-        """Runs a request; tells whether the prefix was cached."""
+        """Runs a request and returns whether its prefix was cached."""
         cache = self.caches[name]
         self.loads[name] += 1
         hit = prefix in cache
@@ -148,8 +160,8 @@
             cache.popitem(last=False)
         return hit
 
-    def lightest(self, names: list[str]) -> str:
-        """Returns the lighter of two drawn."""
+    def less_loaded(self, names: list[str]) -> str:
+        """Returns the less loaded of two randomly chosen engines."""
         pair = self.rng.sample(names, min(2, len(names)))
         return min(pair, key=self.loads.__getitem__)
 
@@ -159,19 +171,19 @@
         for name in rendezvous.rank(prefix, self.names)[:2]:
             if self.loads[name] <= bound:
                 return name
-        return self.lightest(self.names)
+        return self.less_loaded(self.names)
 
     def choose_by_exact(self, prefix: str) -> str:
-        """Chooses among the engines that the index names."""
-        return self.lightest(self.holders.get(prefix) or self.names)
+        """Chooses among the engines that the exact index lists."""
+        return self.less_loaded(self.holders.get(prefix) or self.names)
 
     def choose_by_filter(self, prefix: str) -> str:
-        """Chooses among the engines whose filters name the prefix."""
-        named = [n for n in self.names if prefix in self.filters[n]]
-        return self.lightest(named or self.names)
+        """Chooses among the engines whose filters contain the prefix."""
+        matching = [n for n in self.names if prefix in self.filters[n]]
+        return self.less_loaded(matching or self.names)
 
-    def index(self, false_positives: float) -> None:
-        """Brings both indexes up to date, as cache events would."""
+    def rebuild_indexes(self, false_positives: float) -> None:
+        """Updates both indexes, as cache events from the engines would."""
         self.holders = {}
         for name, cache in self.caches.items():
             bloom = BloomFilter(CACHE_ENTRIES, false_positives)
@@ -181,10 +193,13 @@
             self.filters[name] = bloom
 
 
-def measure_affinity(way: str, false_positives: float) -> Affinity:
-    """Returns how one way of choosing engines fares."""
+def measure_affinity(way: str, false_positives: float) -> PrefixAffinityResult:
+    """Measures one way to choose engines.
+
+    Only the second half of the requests counts for the hit rate.
+    """
     fleet = Fleet(seed=1)
-    fleet.index(false_positives)
+    fleet.rebuild_indexes(false_positives)
     choose = {
         "no index (rendezvous)": fleet.choose_by_hash,
         "exact index": fleet.choose_by_exact,
@@ -193,12 +208,12 @@
     hits = counted = 0
     spent_s = 0.0
     for number in range(REQUESTS):
-        if number % INDEX_EVERY == 0 and way != "no index (rendezvous)":
-            fleet.index(false_positives)
+        if number % INDEX_INTERVAL == 0 and way != "no index (rendezvous)":
+            fleet.rebuild_indexes(false_positives)
         prefix = fleet.draw_prefix()
-        began_at = time.perf_counter()
+        start = time.perf_counter()
         name = choose(prefix)
-        spent_s += time.perf_counter() - began_at
+        spent_s += time.perf_counter() - start
         hit = fleet.serve(name, prefix)
         if number >= REQUESTS // 2:
             hits += hit
@@ -208,7 +223,7 @@
         "exact index": ENGINES * CACHE_ENTRIES * 8 / 1000,
         "filters": ENGINES * fleet.filters["engine-0"].size / 8 / 1000,
     }[way]
-    return Affinity(
+    return PrefixAffinityResult(
         way,
         round(hits / counted, 3),
         round(state, 1),
@@ -217,11 +232,11 @@
 
 
 def main() -> int:
-    """Weighs the ways from the command line."""
+    """Runs the comparison from the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--json", action="store_true")
     arguments = parser.parse_args()
-    results: list[Withdrawn | Affinity] = []
+    results: list[WithdrawnKeysResult | PrefixAffinityResult] = []
     for rate in (1e-2, 1e-6):
         results += measure_withdrawn(rate)
     for way in ("no index (rendezvous)", "exact index", "filters"):
--- a/bench/matrix.py
+++ b/bench/matrix.py
@@ -1,9 +1,9 @@
-"""The fault matrix: every fault at every step of whole sessions.
+"""The fault matrix: injects every fault at every step of test sessions.
 
-A step is a call between two processes. Each session is played once without
-faults to find its steps; then each cell plays it again with one fault at one
-step, and each pair with two. Promises are judged from what the stand-ins and
-the callers saw.
+A step is a call between two processes. Each session runs once without faults to
+find its steps. Then each cell runs it again with one fault at one step, and
+each pair with two faults. The guarantees are checked against what the fakes and
+the callers recorded.
 """
 
 import argparse
@@ -23,7 +23,7 @@
 
 PLACES_PER_OPERATION = 4
 PAIRS = 300
-OUTSIDERS = ("outside", "engines")
+EXTERNAL_CALLERS = ("outside", "engines")
 PLATFORM = ("key_value", "vm_list", "capacity", "usage", "weights")
 
 
@@ -33,50 +33,50 @@
 
     Attributes:
         session: Name of the session.
-        faults: Where which faults strike.
+        faults: The faults to inject, by place.
     """
 
     session: str
     faults: dict[faults.Place, faults.Fault]
 
     def describe(self) -> str:
-        """Returns a line that names the cell."""
-        strikes = [
+        """Returns a one-line description of the cell."""
+        descriptions = [
             f"{fault.value} at {caller} {operation} #{count}"
             for (caller, operation, count), fault in self.faults.items()
         ]
-        return f"{self.session}: {' and '.join(strikes)}"
+        return f"{self.session}: {' and '.join(descriptions)}"
 
 
 @attrs.frozen
 class Result:
-    """What a cell showed.
+    """The result of a cell.
 
     Attributes:
-        cell: A line that names the cell.
-        broken: What was found broken, a line each.
-        struck: How many of its faults took place.
+        cell: Description of the cell.
+        broken: Violated guarantees, a line each.
+        injected: Number of its faults that were injected.
     """
 
     cell: str
     broken: list[str]
-    struck: int
+    injected: int
 
 
 @attrs.frozen
 class Report:
-    """The whole matrix in figures.
+    """Summary of the matrix.
 
     Attributes:
         sessions: Names of the sessions.
-        steps: Calls between processes in all sessions without faults.
-        places: Calls at which faults were put.
-        faults: Kinds of faults.
-        cells: Runs with one fault.
-        pairs: Runs with two.
-        unstruck: Runs in which a fault did not take place.
-        seed: Chose the pairs.
-        broken: What was found broken, a line each.
+        steps: Number of calls between processes in all sessions without faults.
+        places: Number of calls chosen for fault injection.
+        faults: Number of different faults.
+        cells: Number of runs with one fault.
+        pairs: Number of runs with two faults.
+        unstruck: Number of runs in which a fault was not injected.
+        seed: Seed of the random choice of runs.
+        broken: Violated guarantees, a line each.
     """
 
     sessions: list[str]
@@ -90,11 +90,11 @@
     broken: list[str]
 
 
-def fits(step: faults.Step, fault: faults.Fault) -> bool:
-    """Tells whether a fault can take place at a step."""
+def can_occur(step: faults.Step, fault: faults.Fault) -> bool:
+    """Returns whether a fault can occur at a step."""
     kinds = faults.Fault
     is_http = " " in step.operation
-    is_outside = step.caller in OUTSIDERS
+    is_outside = step.caller in EXTERNAL_CALLERS
     is_node_target = step.target.startswith("node-")
     is_server = not is_node_target and step.target not in PLATFORM
     if fault in (kinds.ANSWER_CROSSED, kinds.ANSWER_CUT):
@@ -115,7 +115,13 @@
 def choose_places(
     steps: list[faults.Step], max_places: int
 ) -> dict[faults.Place, faults.Step]:
-    """Returns up to so many evenly spaced calls of each kind."""
+    """Returns evenly spaced calls of each kind.
+
+    Args:
+        steps: All calls of a session.
+        max_places: Maximum number of calls of each kind, where a kind is a
+            caller and an operation.
+    """
     by_kind: dict[tuple[str, str], list[faults.Step]] = {}
     for step in steps:
         by_kind.setdefault((step.caller, step.operation), []).append(step)
@@ -131,24 +137,24 @@
 def make_cells(
     session: str, places: dict[faults.Place, faults.Step]
 ) -> list[Cell]:
-    """Returns a cell for every place and every fault that fits it."""
+    """Returns a cell for every place and every fault that can occur there."""
     return [
         Cell(session, {place: fault})
         for place, step in places.items()
         for fault in faults.Fault
-        if fits(step, fault)
+        if can_occur(step, fault)
     ]
 
 
 def make_pairs(cells: list[Cell], count: int, rng: random.Random) -> list[Cell]:
-    """Returns runs with two faults, drawn from those with one."""
+    """Returns cells with two faults, combined from random cells with one."""
     by_session = collections.defaultdict(list)
     for cell in cells:
         by_session[cell.session].append(cell)
     pairs = []
     for session in itertools.islice(itertools.cycle(by_session), count):
-        one, other = rng.sample(by_session[session], 2)
-        pairs.append(Cell(session, {**one.faults, **other.faults}))
+        first, second = rng.sample(by_session[session], 2)
+        pairs.append(Cell(session, {**first.faults, **second.faults}))
     return pairs
 
 
@@ -183,31 +189,31 @@
     """Runs the matrix.
 
     Args:
-        names: The sessions.
-        max_places: Places of each kind of call.
-        pairs: Runs with two faults.
-        share: Runs to draw; 0 for all.
-        seed: Chooses the pairs and the share.
-        jobs: Processes to run at a time.
+        names: Names of the sessions.
+        max_places: Maximum number of places of each kind of call.
+        pairs: Number of runs with two faults.
+        share: Number of randomly chosen runs with one fault; 0 for all.
+        seed: Seed of the random choice of runs.
+        jobs: Number of parallel processes.
     """
     rng = random.Random(seed)
     steps = {name: find_steps(name) for name in names}
     places = {name: choose_places(steps[name], max_places) for name in names}
     cells = [c for name in names for c in make_cells(name, places[name])]
-    doubles = make_pairs(cells, pairs, rng)
+    pair_cells = make_pairs(cells, pairs, rng)
     if share:
         cells = rng.sample(cells, min(share, len(cells)))
-    runs = [*cells, *doubles]
-    results = _play_all(runs, jobs)
+    runs = [*cells, *pair_cells]
+    results = _run_all(runs, jobs)
     return Report(
         names,
         sum(map(len, steps.values())),
         sum(map(len, places.values())),
         len({fault for cell in runs for fault in cell.faults.values()}),
         len(cells),
-        len(doubles),
+        len(pair_cells),
         sum(
-            result.struck < len(cell.faults)
+            result.injected < len(cell.faults)
             for cell, result in zip(runs, results, strict=True)
         ),
         seed,
@@ -215,7 +221,7 @@
     )
 
 
-def _play_all(runs: list[Cell], jobs: int) -> list[Result]:
+def _run_all(runs: list[Cell], jobs: int) -> list[Result]:
     if jobs == 1:
         return [run_cell(cell) for cell in runs]
     with futures.ProcessPoolExecutor(jobs) as pool:
@@ -227,7 +233,12 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--json", action="store_true")
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--share", type=int, default=0, help="runs to draw")
+    parser.add_argument(
+        "--share",
+        type=int,
+        default=0,
+        help="number of runs to choose at random",
+    )
     parser.add_argument("--pairs", type=int, default=PAIRS)
     parser.add_argument("--most", type=int, default=PLACES_PER_OPERATION)
     parser.add_argument("--jobs", type=int, default=os.cpu_count() or 1)
--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -1,6 +1,7 @@
-"""Deliberate breaks: each promise's mechanism broken must turn a test red.
+"""Mutation tests: disables a mechanism and expects a test to fail.
 
-Every break is made in a copy of the tree, in which one test is run.
+Each mutation ("break") is applied to a copy of the source tree, in which one
+test module, class or method is run.
 """
 
 import argparse
@@ -19,12 +20,12 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 SOURCE = pathlib.Path("src/kingcupscale")
-TEST_LIMIT_S = 400
+TEST_TIMEOUT_S = 400
 
 
 BREAKS = (
     breaks.Break(
-        "each sample names its versions",
+        "each sample names its weight versions",
         "rollouts/step.py",
         "and last.version == token_chunk.version",
         "and True",
@@ -32,7 +33,7 @@
         ".test_sample_generated_across_a_swap_has_both_versions",
     ),
     breaks.Break(
-        "no sample is older than the bound",
+        "no sample exceeds the staleness bound",
         "rollouts/step.py",
         "return self.context.rule.allows(sample.oldest_version(), "
         "self.version)",
@@ -47,7 +48,7 @@
         "tests.test_breaks.TrainerTest.test_repeated_group_is_dropped",
     ),
     breaks.Break(
-        "runs only for the key's organisation",
+        "a request runs only for the key's organisation",
         "serving/claims.py",
         'key = f"{PREFIX}{organisation}/{digest}"',
         'key = f"{PREFIX}{digest}"',
@@ -69,7 +70,7 @@
         "tests.test_serving.RefusalTest",
     ),
     breaks.Break(
-        "a withdrawn key stops within seconds",
+        "a withdrawn key stops working within seconds",
         "serving/sessions.py",
         "session.cancel()",
         "pass",
@@ -77,7 +78,7 @@
         ".test_withdrawal_ends_an_open_stream",
     ),
     breaks.Break(
-        "a withdrawn key stops within seconds",
+        "a withdrawn key stops working within seconds",
         "configuration/admission.py",
         "is_admitting = self.ready and (self.is_confirmed() or is_in_majority)",
         "is_admitting = self.ready",
@@ -85,14 +86,14 @@
         ".test_node_cut_off_from_store_and_peers_stops_admitting",
     ),
     breaks.Break(
-        "orders from one process",
+        "only one process sends orders",
         "duties/lease.py",
         "return self.orders_allowed_from <= now < last",
         "return now < last",
         "tests.test_lease.LeaseTest.test_new_holder_waits_for_orders_in_flight",
     ),
     breaks.Break(
-        "orders from one process",
+        "only one process sends orders",
         "duties/lease.py",
         "if self.epoch != epoch or not self.can_send_orders():",
         "if False:",
@@ -100,21 +101,21 @@
         ".test_paused_holder_is_replaced_and_cannot_send_orders",
     ),
     breaks.Break(
-        "orders from one process",
+        "only one process sends orders",
         "duties/journal.py",
         "if not answer.written:",
         "if False:",
         "tests.test_lease.JournalTest.test_former_holder_cannot_write",
     ),
     breaks.Break(
-        "no usage window with different figures",
+        "no usage window is reported with different figures",
         "usage/reporting.py",
         "totals[index] - before[index]",
         "totals[index]",
         "tests.test_usage.ReportingTest",
     ),
     breaks.Break(
-        "no usage window with different figures",
+        "no usage window is reported with different figures",
         "usage/counterreplication.py",
         "holders = self.replica_holders()",
         "holders = []",
@@ -122,7 +123,7 @@
         ".test_counts_of_a_crashed_node_are_reported",
     ),
     breaks.Break(
-        "whole answer to its own request",
+        "each response is complete and belongs to its request",
         "serving/generation.py",
         "if chunk.request_id != generate_request.request_id:",
         "if False:",
@@ -130,21 +131,21 @@
         ".test_chunk_of_another_response_is_rejected",
     ),
     breaks.Break(
-        "whole answer to its own request",
+        "each response is complete and belongs to its request",
         "serving/generation.py",
         "if chunk.start != position:",
         "if False:",
         "tests.test_breaks.InvalidChunkTest.test_repeated_chunk_is_rejected",
     ),
     breaks.Break(
-        "whole answer to its own request",
+        "each response is complete and belongs to its request",
         "serving/plainservices.py",
         "if response.headers.get(REQUEST_ID_HEADER) != expected:",
         "if False:",
         "tests.test_serving.PlainCallTest.test_non_idempotent_call_runs_once",
     ),
     breaks.Break(
-        "a refusal that says not run is true",
+        "a request refused as not run has not run",
         "serving/plainservices.py",
         "raise _unknown_outcome(e.reason) from e",
         "raise errors.ServiceError(errors.ResultCode.BACKEND_FAILED) from e",
@@ -166,7 +167,7 @@
         ".test_retries_with_a_key_on_several_nodes_run_once",
     ),
     breaks.Break(
-        "a leaving server gets no new work",
+        "a leaving server gets no new requests",
         "serving/routing.py",
         "if not state.is_leaving and state.name not in requirements.excluded",
         "if state.name not in requirements.excluded",
@@ -174,7 +175,7 @@
         ".test_leaving_engine_gets_no_new_requests",
     ),
     breaks.Break(
-        "a planned stop cuts no request",
+        "a planned stop interrupts no request",
         "node.py",
         "while self.caller_api.active or self.sessions.open_sessions:",
         "while False:",
@@ -182,14 +183,14 @@
         ".test_drain_interrupts_no_request_and_loses_no_usage",
     ),
     breaks.Break(
-        "accepted configuration in force, never reverts",
+        "an accepted configuration takes effect and never reverts",
         "configuration/replica.py",
         "if batch.snapshot and batch.snapshot.revision > self.revision:",
         "if batch.snapshot:",
         "tests.test_configuration.ReplicaTest",
     ),
     breaks.Break(
-        "accepted configuration in force, never reverts",
+        "an accepted configuration takes effect and never reverts",
         "configuration/editor.py",
         "if not self.admission.has_majority():",
         "if False:",
@@ -197,7 +198,7 @@
         ".test_minority_that_reaches_the_store_accepts_no_change",
     ),
     breaks.Break(
-        "accepted configuration in force, never reverts",
+        "an accepted configuration takes effect and never reverts",
         "configuration/replication.py",
         "if self.replica.revision and self.admission.is_majority(reached):",
         "if True:",
@@ -205,7 +206,7 @@
         ".test_starting_node_waits_for_more_than_one_stale_peer",
     ),
     breaks.Break(
-        "accepted configuration in force, never reverts",
+        "an accepted configuration takes effect and never reverts",
         "configuration/editor.py",
         "if not is_enough and not self.admission.is_majority(set(reached)):",
         "if False:",
@@ -224,13 +225,13 @@
 
 @attrs.frozen
 class Outcome:
-    """What a break did.
+    """The result of a mutation.
 
     Attributes:
-        promise: Which promise rests on the mechanism.
-        file: Source file.
-        test: The test.
-        is_red: Whether the test failed, as it must.
+        promise: The guarantee that the mechanism provides.
+        file: The mutated source file, relative to the package.
+        test: The test that was run.
+        is_red: Whether the test failed, as expected.
     """
 
     promise: str
@@ -239,53 +240,61 @@
     is_red: bool
 
 
-def try_break(broken: breaks.Break) -> Outcome:
-    """Makes a break in a copy of the tree and runs its test."""
+def run_break(mutation: breaks.Break) -> Outcome:
+    """Applies a mutation to a copy of the source tree and runs its test.
+
+    Raises:
+        ValueError: If the text to replace does not occur exactly once.
+    """
     with tempfile.TemporaryDirectory() as folder:
         copy = pathlib.Path(folder) / "tree"
         ignored = shutil.ignore_patterns(
             ".git", ".venv", "__pycache__", "target", "journal"
         )
         shutil.copytree(ROOT, copy, ignore=ignored)
-        path = copy / SOURCE / broken.file
+        path = copy / SOURCE / mutation.file
         text = path.read_text(encoding="utf-8")
-        if text.count(broken.old) != 1:
-            raise ValueError(f"{broken.file}: {broken.old!r} stands not once")
-        path.write_text(text.replace(broken.old, broken.new), encoding="utf-8")
+        if text.count(mutation.old) != 1:
+            raise ValueError(
+                f"{mutation.file}: expected {mutation.old!r} exactly once"
+            )
+        path.write_text(
+            text.replace(mutation.old, mutation.new), encoding="utf-8"
+        )
         code = subprocess.run(
-            [sys.executable, "-m", "unittest", broken.test],
+            [sys.executable, "-m", "unittest", mutation.test],
             cwd=copy,
             env={**os.environ, "PYTHONPATH": f"{copy / 'src'}:{copy}"},
             capture_output=True,
-            timeout=TEST_LIMIT_S,
+            timeout=TEST_TIMEOUT_S,
             check=False,
         ).returncode
-    return Outcome(broken.promise, broken.file, broken.test, code != 0)
+    return Outcome(mutation.promise, mutation.file, mutation.test, code != 0)
 
 
 def main() -> int:
-    """Tries all breaks from the command line."""
+    """Runs the mutations from the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument(
         "--part",
         choices=("own", "site", "all"),
         default="all",
-        help="breaks of the product's own interface, of a node on the"
-        " platform, or all",
+        help="mutations of a node with its own API (own), of a node on the"
+        " platform (site), or of both (all)",
     )
     parser.add_argument("--json", action="store_true")
     parser.add_argument("--jobs", type=int, default=os.cpu_count() or 1)
     arguments = parser.parse_args()
     with futures.ThreadPoolExecutor(arguments.jobs) as pool:
-        outcomes = list(pool.map(try_break, PARTS[arguments.part]))
-    green = [outcome for outcome in outcomes if not outcome.is_red]
+        outcomes = list(pool.map(run_break, PARTS[arguments.part]))
+    survived = [outcome for outcome in outcomes if not outcome.is_red]
     if arguments.json:
         print(orjson.dumps([attrs.asdict(o) for o in outcomes]).decode())
     else:
         for outcome in outcomes:
             colour = "red" if outcome.is_red else "GREEN"
             print(f"{colour:5} {outcome.promise}: {outcome.test}")
-    return 1 if green else 0
+    return 1 if survived else 0
 
 
 if __name__ == "__main__":
--- a/bench/peering.py
+++ b/bench/peering.py
@@ -1,7 +1,8 @@
-"""What acting together costs a node, by the size of the fleet.
+"""Measures the cost of peering for a node, by fleet size.
 
-Processes on loopback give processor time, memory and bytes; a fleet on
-virtual time gives calls and spreading times up to the design size.
+Processor time, memory and network traffic are measured with processes on
+loopback. Call rates and propagation times are measured with a simulated fleet
+in virtual time. Values at the design size are extrapolated.
 """
 
 import argparse
@@ -32,17 +33,17 @@
 
 @attrs.frozen
 class Fleet:
-    """What a fleet of node processes used without callers.
+    """Resource usage of a fleet of node processes that serve no callers.
 
     Attributes:
-        nodes: How many nodes.
+        nodes: Number of nodes.
         cpu_ms_per_s: Mean processor time of a node.
-        largest_cpu_ms_per_s: That of the busiest node.
-        sent_kb_per_s: Bytes on loopback, headers included, a node; what one
-            node sends another receives.
-        resident_mb: Mean memory of a node.
-        largest_resident_mb: That of the largest.
-        change_s: Median time until a change was confirmed by every node.
+        largest_cpu_ms_per_s: Processor time of the busiest node.
+        sent_kb_per_s: Mean loopback traffic of a node, including packet
+            headers. Each byte counts once, for its sender.
+        resident_mb: Mean resident memory of a node.
+        largest_resident_mb: Largest resident memory of a node.
+        change_s: Median time until every node has confirmed a change.
     """
 
     nodes: int
@@ -56,7 +57,16 @@
 
 @attrs.frozen
 class Projection:
-    """Straight lines through the largest fleets, at the design size."""
+    """Usage at the design size, extrapolated from the largest fleets.
+
+    Attributes:
+        nodes: Number of nodes.
+        cpu_ms_per_s: Processor time of a node.
+        sent_kb_per_s: Network traffic of a node.
+        resident_mb: Resident memory of a node.
+        store_calls_per_s: Calls to the store by the whole fleet.
+        store_share: Fraction of the store's capacity used by these calls.
+    """
 
     nodes: int
     cpu_ms_per_s: float
@@ -68,7 +78,7 @@
 
 @attrs.frozen
 class Report:
-    """All fleets and the projection."""
+    """Results of all fleets, and the projection."""
 
     processes: list[Fleet]
     virtual: list[virtualfleet.Fleet]
@@ -82,7 +92,7 @@
 
 
 def measure_processes(nodes: int) -> Fleet:
-    """Returns what a fleet of so many node processes uses."""
+    """Measures the resource usage of a fleet of node processes."""
     with (
         tempfile.TemporaryDirectory() as folder,
         deployments.running(pathlib.Path(folder), nodes) as deployment,
@@ -94,7 +104,7 @@
         sent = _loopback_bytes() - bytes_before
         after = [processes.cpu_s(pid) for pid in deployment.pids]
         memory = [processes.resident_mb(pid) for pid in deployment.pids]
-        change_s = trio.run(_time_changes, deployment)
+        change_s = trio.run(_measure_change_time, deployment)
     used = [
         1000 * (b - a) / MEASURE_S for a, b in zip(before, after, strict=True)
     ]
@@ -109,25 +119,25 @@
     )
 
 
-async def _time_changes(deployment: deployments.Deployment) -> float:
+async def _measure_change_time(deployment: deployments.Deployment) -> float:
     http_client = httpclient.PooledHttpClient()
     operator = deployment.operator(0, http_client)
     times = []
     for streams in range(1, CHANGES + 1):
         tables = dict(deployment.tables["organisations"])
         tables["customer-2"] = {"label": "org-customer-2", "streams": streams}
-        began_at = time.monotonic()
+        start = time.monotonic()
         response = await operator.apply({"organisations": tables}, "bench")
-        times.append(time.monotonic() - began_at)
-        answer = orjson.loads(response.body)
-        if len(answer["in_force"]) < len(deployment.nodes):
+        times.append(time.monotonic() - start)
+        accepted = orjson.loads(response.body)
+        if len(accepted["in_force"]) < len(deployment.nodes):
             raise RuntimeError(response.body.decode())
     await http_client.aclose()
     return statistics.median(times)
 
 
-def _extend(sizes: list[int], values: list[float]) -> float:
-    """Returns the value at the design size on a line through the last two."""
+def _extrapolate(sizes: list[int], values: list[float]) -> float:
+    """Extrapolates the last two values linearly to the design size."""
     slope = (values[-1] - values[-2]) / (sizes[-1] - sizes[-2])
     return round(values[-1] + slope * (DESIGN_NODES - sizes[-1]), 2)
 
@@ -135,24 +145,24 @@
 def project(
     fleets: list[Fleet], virtual: list[virtualfleet.Fleet]
 ) -> Projection:
-    """Returns what the design size would use."""
+    """Returns the projected usage at the design size."""
     sizes = [fleet.nodes for fleet in fleets]
-    calls = _extend(
+    calls = _extrapolate(
         [fleet.nodes for fleet in virtual],
         [fleet.store_calls_per_s for fleet in virtual],
     )
     return Projection(
         DESIGN_NODES,
-        _extend(sizes, [fleet.cpu_ms_per_s for fleet in fleets]),
-        _extend(sizes, [fleet.sent_kb_per_s for fleet in fleets]),
-        _extend(sizes, [fleet.resident_mb for fleet in fleets]),
+        _extrapolate(sizes, [fleet.cpu_ms_per_s for fleet in fleets]),
+        _extrapolate(sizes, [fleet.sent_kb_per_s for fleet in fleets]),
+        _extrapolate(sizes, [fleet.resident_mb for fleet in fleets]),
         calls,
         round(calls / STORE_READS_PER_S, 4),
     )
 
 
 def main() -> int:
-    """Measures all fleets from the command line."""
+    """Runs the benchmark from the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--json", action="store_true")
     parser.add_argument(
--- a/bench/pools.py
+++ b/bench/pools.py
@@ -1,9 +1,10 @@
-"""Processor time of requests by the way connections are kept.
+"""Measures the processor time of a request with different connection pools.
 
     python -m bench.pools [--json]
 
-Compares one pool for all servers with a pool for each server, over streams in
-memory that answer at once, so that nothing but the client costs time.
+Compares one connection pool for all servers with a pool for each server. The
+connections are in-memory fakes that respond at once, so that only the client
+costs time.
 """
 
 import argparse
@@ -21,43 +22,52 @@
 from kingcupscale.web import httpclient
 from kingcupscale.web import message
 
-# Engines of a large deployment and what each of them runs at once.
+# Numbers of engines of a large deployment, and the concurrent requests of each
+# engine.
 SERVERS = (4, 19, 37)
 SLOTS = 6
-REQUESTS_EACH = 8
+REQUESTS_PER_SLOT = 8
 ROUNDS = 3
 EVENT = b"id: 1\ndata: " + b"x" * 200 + b"\n\n"
 EVENTS = 20
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-PIECE = b"%x\r\n%s\r\n" % (len(EVENT), EVENT)
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+CHUNK = b"%x\r\n%s\r\n" % (len(EVENT), EVENT)
 
 
-class AnsweringStream(httpcore.AsyncNetworkStream):
-    """Answers each request with a stream of events, piece by piece."""
+class FakeStream(httpcore.AsyncNetworkStream):
+    """An in-memory connection that responds with event streams."""
 
     def __init__(self) -> None:
-        self.pieces: list[bytes] = []
+        self.pending_chunks: list[bytes] = []
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Returns the next piece of the answer."""
+        """Returns the next part of the response."""
         await trio.lowlevel.checkpoint()
-        return self.pieces.pop()
+        return self.pending_chunks.pop()
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Takes a request, which comes as a head and a body."""
-        if not self.pieces:
-            self.pieces = [b"0\r\n\r\n", *[PIECE] * EVENTS, HEAD]
+        """Prepares a response.
+
+        The client writes the head and the body of a request separately; only
+        the first write prepares a response.
+        """
+        if not self.pending_chunks:
+            self.pending_chunks = [
+                b"0\r\n\r\n",
+                *[CHUNK] * EVENTS,
+                RESPONSE_HEAD,
+            ]
 
     async def aclose(self) -> None:
-        """Closes nothing."""
+        """Does nothing; no resource is held."""
 
     def get_extra_info(self, info: str) -> Any:
-        """Tells that no byte waits on an idle connection."""
+        """Returns that an idle connection has no data to read."""
         return False if info == "is_readable" else None
 
 
-class AnsweringBackend(httpcore.AsyncNetworkBackend):
-    """Opens streams that answer."""
+class FakeBackend(httpcore.AsyncNetworkBackend):
+    """Opens in-memory connections and counts them."""
 
     def __init__(self) -> None:
         self.opened = 0
@@ -65,17 +75,17 @@
     async def connect_tcp(
         self, host: str, port: int, *_: Any, **__: Any
     ) -> httpcore.AsyncNetworkStream:
-        """Returns a stream that answers."""
+        """Returns a new in-memory connection."""
         self.opened += 1
-        return AnsweringStream()
+        return FakeStream()
 
     async def sleep(self, seconds: float) -> None:
-        """Waits."""
+        """Sleeps."""
         await trio.sleep(seconds)
 
 
-class OnePool:
-    """An ``HttpClient`` with one pool for all servers; the baseline."""
+class SinglePoolClient:
+    """The baseline: an ``HttpClient`` with one pool for all servers."""
 
     def __init__(self, backend: httpcore.AsyncNetworkBackend) -> None:
         self.pool = httpclient.make_pool(1024, 30.0, backend)
@@ -91,8 +101,8 @@
             yield response
 
 
-WAYS: dict[str, Callable[[httpcore.AsyncNetworkBackend], Any]] = {
-    "one pool": OnePool,
+CLIENT_FACTORIES: dict[str, Callable[[httpcore.AsyncNetworkBackend], Any]] = {
+    "one pool": SinglePoolClient,
     "a pool for each server": lambda backend: httpclient.PooledHttpClient(
         backend=backend
     ),
@@ -100,10 +110,10 @@
 
 
 async def _run(http_client: httpclient.HttpClient, servers: int) -> None:
-    """Sends requests to all servers, as many at a time as have a slot."""
+    """Sends requests to all servers, ``SLOTS`` at a time to each of them."""
 
     async def use_slot(address: str) -> None:
-        for _ in range(REQUESTS_EACH):
+        for _ in range(REQUESTS_PER_SLOT):
             request = message.Request(
                 "POST", "/generate", "", {"host": "h"}, b"?" * 600
             )
@@ -117,39 +127,42 @@
                 nursery.start_soon(use_slot, f"10.0.0.{server + 1}:80")
 
 
-def measure(way: str, servers: int) -> dict[str, Any]:
-    """Returns processor milliseconds a request, and connections opened."""
-    readings = []
+def measure(client: str, servers: int) -> dict[str, Any]:
+    """Returns the processor time of a request and the connections opened.
+
+    The processor time is the median of all rounds.
+    """
+    results = []
     for _ in range(ROUNDS):
-        backend = AnsweringBackend()
-        http_client = WAYS[way](backend)
-        began = time.process_time()
+        backend = FakeBackend()
+        http_client = CLIENT_FACTORIES[client](backend)
+        start_s = time.process_time()
         trio.run(_run, http_client, servers)
-        spent_s = time.process_time() - began
-        readings.append(1000 * spent_s / (servers * SLOTS * REQUESTS_EACH))
+        spent_s = time.process_time() - start_s
+        results.append(1000 * spent_s / (servers * SLOTS * REQUESTS_PER_SLOT))
     return {
-        "way": way,
+        "way": client,
         "servers": servers,
-        "ms_a_request": round(statistics.median(readings), 3),
+        "ms_a_request": round(statistics.median(results), 3),
         "connections": backend.opened,
     }
 
 
 def main() -> None:
-    """Prints a line for each way and number of servers."""
+    """Prints a line for each client and number of servers."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--json", action="store_true", help="print JSON")
     options = parser.parse_args()
     for servers in SERVERS:
-        for way in WAYS:
-            reading = measure(way, servers)
+        for client in CLIENT_FACTORIES:
+            result = measure(client, servers)
             if options.json:
-                print(json.dumps(reading))
+                print(json.dumps(result))
             else:
                 print(
-                    f"{way:24} {servers:3} servers"
-                    f" {reading['ms_a_request']:7.3f} ms a request,"
-                    f" {reading['connections']} connections"
+                    f"{client:24} {servers:3} servers"
+                    f" {result['ms_a_request']:7.3f} ms a request,"
+                    f" {result['connections']} connections"
                 )
 
 
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,6 +1,7 @@
-"""A bare relay: the least that any node on the same libraries could add.
+"""A minimal HTTP proxy: the baseline for the latency that a node adds.
 
-``python -m bench.relay BIND TARGET`` passes every request to one address.
+It uses the HTTP client and server of a node and does nothing else.
+``python -m bench.relay BIND TARGET`` forwards every request to one address.
 """
 
 import sys
@@ -16,10 +17,10 @@
 
 
 class Relay:
-    """Passes requests on as they come.
+    """Forwards requests to one target.
 
     Args:
-        target: ``host:port`` that answers them.
+        target: ``host:port`` to forward to.
     """
 
     def __init__(self, target: str) -> None:
@@ -27,19 +28,19 @@
         self.http_client = httpclient.PooledHttpClient()
 
     async def __call__(self, request: message.Request) -> message.Response:
-        """Returns the target's answer to one request."""
+        """Forwards one request and returns the response of the target."""
         headers = {"content-type": "application/json"}
-        sent = message.Request(
+        forwarded = message.Request(
             request.method, request.path, request.query, headers, request.body
         )
         response = await httpclient.fetch(
-            self.http_client, self.target, sent, TIMEOUT_S
+            self.http_client, self.target, forwarded, TIMEOUT_S
         )
         return message.Response(response.status, {}, response.body)
 
 
 async def main(bind: str, target: str) -> None:
-    """Relays until ended."""
+    """Runs the proxy until the process is terminated."""
     await server.serve(
         Relay(target),
         bind,
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -1,4 +1,4 @@
-"""Calls through a node against calls straight to the same stand-in."""
+"""Compares calls through a node with direct calls to the same fake engine."""
 
 import argparse
 from collections.abc import Awaitable
@@ -21,7 +21,7 @@
 from kingcupscale.web import message
 
 REQUESTS = 400
-AT_A_TIME = 8
+CONCURRENCY = 8
 WARM_UP = 60
 TOKENS = 8
 LONG_TOKENS = 512
@@ -34,12 +34,12 @@
 
 @attrs.frozen
 class Path:
-    """Figures of one way to the engine.
+    """Latency and throughput of one path to the engine.
 
     Attributes:
-        p50_ms: Median time of a call.
-        p99_ms: 99th percentile.
-        requests_per_s: Calls ended a second.
+        p50_ms: Median latency of a call.
+        p99_ms: 99th percentile of the latency.
+        requests_per_s: Calls completed per second with concurrent callers.
     """
 
     p50_ms: float
@@ -49,20 +49,21 @@
 
 @attrs.frozen
 class Report:
-    """The comparison.
+    """Result of the comparison.
 
     Attributes:
-        direct: Straight to the stand-in.
-        through_relay: Through a bare relay on the same libraries.
-        through_node: Through a node.
-        relay_added_p50_ms: What the bare relay adds at the median.
-        added_p50_ms: What the node adds at the median.
-        added_p99_ms: What it adds at the 99th percentile.
-        cpu_ms_per_request: The node's processor time for a call.
-        cpu_us_per_token: The node's processor time for a streamed token.
-        resident_mb: The node's memory.
-        idle_core_share: Share of a core the node takes without calls.
-        design_core_share: Share of a core that the design size takes.
+        direct: Calls directly to the fake engine.
+        through_relay: Calls through a minimal proxy on the same libraries.
+        through_node: Calls through a node.
+        relay_added_p50_ms: Median latency added by the proxy.
+        added_p50_ms: Median latency added by the node.
+        added_p99_ms: Latency added by the node at the 99th percentile.
+        cpu_ms_per_request: Processor time of the node for a call.
+        cpu_us_per_token: Processor time of the node for a streamed token.
+        resident_mb: Resident memory of the node.
+        idle_core_share: Fraction of a core that the node uses without calls.
+        design_core_share: Fraction of a core that the node uses at the design
+            load.
     """
 
     direct: Path
@@ -98,12 +99,12 @@
     return message.json_request("/v1/completions", body, headers)
 
 
-class Bench:
-    """One comparison before a running deployment.
+class Comparison:
+    """One comparison on a running deployment.
 
     Args:
-        deployment: What runs.
-        relay: ``host:port`` of a bare relay before the same engine.
+        deployment: The deployment.
+        relay: ``host:port`` of a minimal proxy to the same engine.
     """
 
     def __init__(self, deployment: deployments.Deployment, relay: str) -> None:
@@ -116,7 +117,7 @@
         self.bodies: list[bytes] = []
 
     async def run(self) -> Report:
-        """Measures both ways in turns and returns the comparison."""
+        """Measures all paths, in turns, and returns the comparison."""
         await self._call_node(WARM_UP)
         await self._call_direct(WARM_UP)
         await self._call_relay(WARM_UP)
@@ -126,10 +127,10 @@
             direct += await self._call_direct(REQUESTS // 4)
             relayed += await self._call_relay(REQUESTS // 4)
             through += await self._call_node(REQUESTS // 4)
-        direct_s = await self._time(self._call_direct)
-        relay_s = await self._time(self._call_relay)
+        direct_s = await self._time_calls(self._call_direct)
+        relay_s = await self._time_calls(self._call_relay)
         cpu_before = processes.cpu_s(self.pid)
-        node_s = await self._time(self._call_node)
+        node_s = await self._time_calls(self._call_node)
         cpu_s = processes.cpu_s(self.pid) - cpu_before - idle * node_s
         per_token_us = await self._measure_tokens(idle, cpu_s / REQUESTS)
         return self._make_report(
@@ -148,7 +149,7 @@
 
     async def _measure_tokens(self, idle: float, request_s: float) -> float:
         before = processes.cpu_s(self.pid)
-        began_at = time.monotonic()
+        start = time.monotonic()
         requests = [
             _node_request(10**6 + n, self.key, LONG_TOKENS, True)
             for n in range(STREAMS * 20)
@@ -159,55 +160,59 @@
             await self._call(self.node, batch, STREAMS)
             tokens += sum(map(_count_tokens, self.bodies))
         used_s = processes.cpu_s(self.pid) - before
-        used_s -= idle * (time.monotonic() - began_at)
+        used_s -= idle * (time.monotonic() - start)
         used_s -= request_s * len(requests)
         return 1e6 * used_s / max(1, tokens)
 
-    async def _call_direct(self, count: int, at_a_time: int = 1) -> list[float]:
+    async def _call_direct(
+        self, count: int, concurrency: int = 1
+    ) -> list[float]:
         address = self.deployment.engine_addresses()[0]
         requests = [_direct_request(number) for number in range(count)]
-        return await self._call(address, requests, at_a_time)
+        return await self._call(address, requests, concurrency)
 
-    async def _time(
+    async def _time_calls(
         self, call: Callable[[int, int], Awaitable[list[float]]]
     ) -> float:
-        began_at = time.monotonic()
-        await call(REQUESTS, AT_A_TIME)
-        return time.monotonic() - began_at
+        start = time.monotonic()
+        await call(REQUESTS, CONCURRENCY)
+        return time.monotonic() - start
 
-    async def _call_relay(self, count: int, at_a_time: int = 1) -> list[float]:
+    async def _call_relay(
+        self, count: int, concurrency: int = 1
+    ) -> list[float]:
         requests = [_direct_request(number) for number in range(count)]
-        return await self._call(self.relay, requests, at_a_time)
+        return await self._call(self.relay, requests, concurrency)
 
-    async def _call_node(self, count: int, at_a_time: int = 1) -> list[float]:
+    async def _call_node(self, count: int, concurrency: int = 1) -> list[float]:
         requests = [
             _node_request(number, self.key, TOKENS, False)
             for number in range(count)
         ]
-        return await self._call(self.node, requests, at_a_time)
+        return await self._call(self.node, requests, concurrency)
 
     async def _call(
-        self, address: str, requests: list[message.Request], at_a_time: int
+        self, address: str, requests: list[message.Request], concurrency: int
     ) -> list[float]:
         times: list[float] = []
         self.bodies = []
-        waiting = list(requests)
+        pending = list(requests)
 
-        async def work() -> None:
-            while waiting:
-                request = waiting.pop()
-                began_at = time.monotonic()
+        async def run_worker() -> None:
+            while pending:
+                request = pending.pop()
+                start = time.monotonic()
                 response = await httpclient.fetch(
                     self.http_client, address, request, TIMEOUT_S
                 )
                 if response.status != 200:
                     raise RuntimeError(response.body.decode())
-                times.append(1000 * (time.monotonic() - began_at))
+                times.append(1000 * (time.monotonic() - start))
                 self.bodies.append(response.body)
 
         async with trio.open_nursery() as nursery:
-            for _ in range(at_a_time):
-                nursery.start_soon(work)
+            for _ in range(concurrency):
+                nursery.start_soon(run_worker)
         return times
 
     def _make_report(
@@ -237,10 +242,10 @@
 
 
 def _count_tokens(body: bytes) -> int:
-    """Returns the tokens in a stream of server-sent events."""
+    """Returns the number of tokens in a stream of server-sent events."""
     events = [event.removeprefix(b"data: ") for event in body.split(b"\n\n")]
-    pieces = [orjson.loads(event) for event in events if event[:1] == b"{"]
-    texts = [piece["choices"][0]["text"] for piece in pieces]
+    chunks = [orjson.loads(event) for event in events if event[:1] == b"{"]
+    texts = [chunk["choices"][0]["text"] for chunk in chunks]
     return len("".join(texts).split())
 
 
@@ -266,7 +271,7 @@
         engine_address = deployment.engine_addresses()[0]
         with processes.started("bench.relay", relay, engine_address):
             time.sleep(RELAY_START_S)
-            report = trio.run(Bench(deployment, relay).run)
+            report = trio.run(Comparison(deployment, relay).run)
     values = attrs.asdict(report)
     if arguments.json:
         print(orjson.dumps(values).decode())
--- a/bench/sitebreaks.py
+++ b/bench/sitebreaks.py
@@ -1,18 +1,22 @@
-"""Deliberate breaks of what a node does on the platform."""
+"""Mutations of a node on the platform, run by ``bench.mutations``.
+
+The table in ``docs/PROMISES.md`` lists them, and a test checks that each fits
+the source.
+"""
 
 import attrs
 
 
 @attrs.frozen
 class Break:
-    """One mechanism broken on purpose.
+    """A mutation of the source that disables one mechanism.
 
     Attributes:
-        promise: Which promise rests on it.
-        file: Source file.
-        old: Text that stands there once.
-        new: What takes its place.
-        test: The test that must fail.
+        promise: The guarantee that the mechanism provides.
+        file: The source file, relative to the package.
+        old: The text to replace, which must occur exactly once.
+        new: The replacement.
+        test: The test module, class or method that must fail.
     """
 
     promise: str
@@ -34,14 +38,14 @@
         CACHE,
     ),
     Break(
-        "a reader hears of results without the store",
+        "readers get results without scanning the store",
         "batches/cache.py",
         "self.mirror.restart_follow()",
         "pass",
         CACHE,
     ),
     Break(
-        "no result is missed by a node that takes a copy",
+        "a node that loads a snapshot misses no result",
         "batches/fetching.py",
         "if snapshot is None or snapshot.revision < revision:",
         "if snapshot is None:",
@@ -55,14 +59,14 @@
         CACHE,
     ),
     Break(
-        "no result is missed after lost history",
+        "no result is missed after a gap in the store's history",
         "storage/mirror.py",
         "                    self.on_reloaded()",
         "                    pass",
         CACHE,
     ),
     Break(
-        "a mirror is no newer than it says",
+        "a mirror does not overstate how current it is",
         "peering/relay.py",
         "requested_at - self.mirror.current_at",
         "0.0",
@@ -77,7 +81,7 @@
         "tests.storage.test_relay",
     ),
     Break(
-        "a configuration never goes back",
+        "a node never reverts to an older configuration",
         "clusterstate.py",
         "not catalogue.is_newer(found, self.catalogue)",
         "False",
@@ -85,7 +89,7 @@
         ".test_older_or_unreadable_configuration_changes_nothing",
     ),
     Break(
-        "orders end with the lease",
+        "no order is sent after the lease has expired",
         "storage/locks.py",
         "return self.clock.monotonic() < self.ends_at - safety_s",
         "return self.lease != stores.NO_LEASE",
@@ -93,7 +97,7 @@
         ".test_isolated_holder_gives_no_order_after_its_lease",
     ),
     Break(
-        "a withdrawn key ends on a node that hears nobody",
+        "a withdrawn key stops working on an isolated node",
         "readiness.py",
         "return is_alone and bool(self.peers.addresses())",
         "return False",
@@ -101,35 +105,35 @@
         ".test_isolated_node_stops_admitting",
     ),
     Break(
-        "no refusal rests on an old configuration",
+        "no request is refused because of an outdated configuration",
         "gateway/admission.py",
         "return self.find_staleness_error() or errors.ServiceError(code)",
         "return errors.ServiceError(code)",
         SITE + "test_configurations.StaleConfigurationTest",
     ),
     Break(
-        "no batch is hidden by an old configuration",
+        "no batch is hidden by an outdated configuration",
         "gateway/callerservice.py",
         "if stale and is_known and e.code is errors.ResultCode.BATCH_UNKNOWN:",
         "if False:",
         SITE + "test_configurations.StaleConfigurationTest",
     ),
     Break(
-        "texts go on after a takeover",
+        "texts are resumed after a takeover",
         "batches/coordinator.py",
         "sample.events = self.partial_texts.pop(item.id, [])",
         "sample.events = []",
         SITE + "test_batches.BatchTest.test_texts_are_resumed_after_a_takeover",
     ),
     Break(
-        "a draining server gets nothing new",
+        "a draining server gets no new requests",
         "fleet/registry.py",
         "            and self.entry.state is ServerState.READY\n",
         "",
         SITE + "test_calls.CallTest.test_draining_server_gets_nothing_new",
     ),
     Break(
-        "a batch that may be kept is not said to be refused",
+        "a batch that may be stored is not reported as refused",
         "batches/transactions.py",
         "    if may_have_run:\n        raise",
         "    if False:\n        raise",
@@ -137,7 +141,7 @@
         ".test_batch_that_may_be_stored_is_not_reported_refused",
     ),
     Break(
-        "an open batch is kept",
+        "an open batch is never removed",
         "batches/retention.py",
         "return record is not None and not record.is_open()",
         "return True",
@@ -151,7 +155,7 @@
         CACHE,
     ),
     Break(
-        "a result is listed in its own batch only",
+        "a result is stored in its own batch only",
         "batches/coordinator.py",
         "key = (sample.record.batch.id, sample.id)",
         "key = next((k for k in self.copied_results if k[1] == sample.id), "
@@ -160,28 +164,28 @@
         ".test_result_of_an_ended_batch_is_not_used_for_another",
     ),
     Break(
-        "a mirror that missed a change is read anew",
+        "a mirror that missed a change is reloaded",
         "storage/mirror.py",
         "elif now - self.differs_since > MAX_DIFFERENCE_S:",
         "elif False:",
         "tests.storage.test_mirror",
     ),
     Break(
-        "a closed session holds nothing",
+        "a closed session holds no lease",
         "storage/locks.py",
         "while not self.is_closed:",
         "while True:",
         "tests.storage.test_session",
     ),
     Break(
-        "a call that may run once runs once",
+        "a call that must not be retried runs at most once",
         "gateway/forwarder.py",
         "state.route.allows_retry()\n            and state.sent",
         "state.sent",
         SITE + "test_calls.CallTest.test_response_without_signature_or_id",
     ),
     Break(
-        "usage counts are whole",
+        "usage counts are complete",
         "usage/windows.py",
         "            self.flushed[window] = counts\n"
         "            self.flushed_to[window] = IN_STORE\n",
@@ -190,21 +194,21 @@
         "tests.test_windows",
     ),
     Break(
-        "counts reach the next node that reports",
+        "usage counts reach a new holder of the usage duty",
         "usage/windows.py",
         "is_unchanged and self.flushed_to[window] in (IN_STORE, holder)",
         "is_unchanged",
         "tests.test_windows",
     ),
     Break(
-        "who begins to report waits for what others told before",
+        "a new holder of the usage duty waits for resent counts",
         "usage/windows.py",
         "return now - self.acquired_at >= RESEND_WAIT_S",
         "return True",
         "tests.test_windows",
     ),
     Break(
-        "a broken connection ends alone",
+        "an error on one connection does not affect others",
         "web/worker.py",
         "        except Exception as e:\n            _log_error(e)\n"
         "        except BaseExceptionGroup as group:",
@@ -212,63 +216,63 @@
         "tests.test_web_server.ConnectionTest",
     ),
     Break(
-        "an item's sender sets only its own headers",
+        "a batch item cannot set reserved headers",
         "platform/documents.py",
         "if n not in dropped}",
         "}",
         "tests.platform.test_documents",
     ),
     Break(
-        "what is given up is not sent later",
+        "an abandoned request is not sent later",
         "web/httpclient.py",
         "    (socket.SOL_SOCKET, socket.SO_LINGER, _RESET),\n",
         "",
         "tests.test_web_server.HttpClientTest",
     ),
     Break(
-        "an answer that names no request is nobody's",
+        "a response without a request id is rejected",
         "platform/servers.py",
         "is_refusal_without_id = echoed is None and answer.not_executed",
         "is_refusal_without_id = echoed is None",
         SITE + "test_calls.CallTest.test_response_without_signature_or_id",
     ),
     Break(
-        "a node's entry does not go for good",
+        "a node's registration is written again if removed",
         "runtime.py",
         "self.registration.note_removed()",
         "pass",
         SITE + "test_lifecycle.RegistrationTest",
     ),
     Break(
-        "a lease that nothing needs is not renewed",
+        "a lease without users is not renewed",
         "storage/locks.py",
         "                if self.users:\n",
         "                if True:\n",
         "tests.storage.test_session",
     ),
     Break(
-        "copies pass over a node that is gone",
+        "replication skips an unreachable node",
         "batches/samplereplication.py",
         "            self.note_failure(name)\n",
         "",
         SITE + "test_lifecycle.SuccessionTest",
     ),
     Break(
-        "a version that nobody told of is asked for",
+        "an unknown weight version is read from the server's status",
         "batches/generation.py",
         "            server.versions.update(status.versions)\n",
         "            del status\n",
         SITE + "test_versions.VersionTest",
     ),
     Break(
-        "figures of a window are fixed before they are sent",
+        "the figures of a window are fixed before they are sent",
         "usage/windows.py",
         "stores.Transaction([condition], [put], removals)",
         "stores.Transaction([], [put], removals)",
         "tests.test_windows",
     ),
     Break(
-        "a window that was taken is not reported again",
+        "an accepted window is not reported again",
         "usage/windows.py",
         "        self.reported.add(window)\n"
         "        events.log(\n"
@@ -277,7 +281,7 @@
         "tests.test_windows",
     ),
     Break(
-        'a refusal that says "not run" is true',
+        'a request refused as "not run" has not run',
         "gateway/forwarder.py",
         "        if state.sent:\n            code = (",
         "        if False:\n            code = (",
@@ -291,7 +295,7 @@
         SITE + "test_calls",
     ),
     Break(
-        "no text is made by weights that are too old",
+        "no text is generated with outdated weights",
         "batches/placement.py",
         "return accepts_samples and version >= batch.minimum_version",
         "return accepts_samples",
@@ -306,14 +310,14 @@
         SITE + "test_batches",
     ),
     Break(
-        "a score is the signature of a success",
+        "only a successful response gives a score",
         "batches/scoring.py",
         'score = response.signature if response.status < 300 else ""',
         "score = response.signature",
         SITE + "test_batches",
     ),
     Break(
-        "a batch is shown to its organisation only",
+        "a batch is visible to its organisation only",
         "batches/cache.py",
         "if record is None or record.batch.organisation != organisation:",
         "if record is None:",
@@ -328,7 +332,7 @@
         SITE + "test_submissions",
     ),
     Break(
-        "an ended batch runs nothing more",
+        "all samples of an ended batch are cancelled",
         "batches/coordinator.py",
         "        for sample in progress.samples.values():\n"
         "            sample.scope.cancel()\n",
@@ -336,7 +340,7 @@
         SITE + "test_batches",
     ),
     Break(
-        "a batch that may be there is not said to be unknown",
+        "a batch that may exist is not reported as unknown",
         "batches/fetching.py",
         "        except stores.StoreError as e:\n"
         "            reason = e.reason\n"
@@ -355,7 +359,7 @@
         SITE + "test_configurations",
     ),
     Break(
-        "a planned stop hands over the last of all texts",
+        "a planned stop hands over all partial texts",
         "leadership.py",
         "            await self.replicator.hand_over()\n"
         "        self.coordinator.set_active(self.model, False)\n",
@@ -364,126 +368,126 @@
         SITE + "test_lifecycle",
     ),
     Break(
-        "samples go on at once when their node is stopped",
+        "samples are resumed at once after a planned stop",
         "leadership.py",
         "if holder == self.takeover_source and now < self.takeover_until:",
         "if False:",
         SITE + "test_lifecycle.RollingStopTest",
     ),
     Break(
-        "a server that says that it leaves gets nothing new",
+        "a server that reports its shutdown gets no new requests",
         "fleet/registry.py",
         "            and not self.is_leaving\n",
         "",
         SITE + "test_leaving",
     ),
     Break(
-        "a leaving server's entry that comes again changes nothing",
+        "a repeated entry of a leaving server changes nothing",
         "fleet/registry.py",
         "self.leaving_starts.get(entry.id) == entry.start_ms",
         "False",
         SITE + "test_leaving",
     ),
     Break(
-        "another server's notice is not taken for a server's own",
+        "a shutdown notice from another server is ignored",
         "platform/servers.py",
         "if response.status != 421 or answered_by == server.id:",
         "if True:",
         SITE + "test_leaving",
     ),
     Break(
-        "heads without end have an end",
+        "endless response headers time out",
         "web/httpclient.py",
         "with trio.move_on_after(connect_s + timeout_s) as scope:",
         "with trio.CancelScope() as scope:",
         SITE + "test_endless.EndlessTest.test_status_and_order_end_in_time",
     ),
     Break(
-        "a body without end takes little memory",
+        "an endless response body uses bounded memory",
         "gateway/forwarder.py",
         "await response.read_at_most(MAX_BUFFERED_BYTES)",
         "await response.read_at_most(None)",
         SITE + "test_endless",
     ),
     Break(
-        "an event without end takes little memory",
+        "an endless event uses bounded memory",
         "platform/servers.py",
         "if len(pending) > MAX_EVENT_BYTES:",
         "if False:",
         SITE + "test_endless",
     ),
     Break(
-        "a text without end is given up",
+        "generation of an endless text is stopped",
         "batches/generation.py",
         "if size > MAX_TEXT_BYTES or sample.exceeds_token_limit():",
         "if False:",
         SITE + "test_endless",
     ),
     Break(
-        "a stalled stream ends with its time",
+        "a stalled stream ends at its deadline",
         "gateway/responsestream.py",
         "max(0.0, until - clock.monotonic())",
         "max(0.0, 60 + until - clock.monotonic())",
         SITE + "test_slow",
     ),
     Break(
-        "slow engines finish their texts",
+        "slow engines get the time to finish their texts",
         "batches/generation.py",
         "base_s * 2**sample.idle_timeouts",
         "base_s",
         SITE + "test_slow",
     ),
     Break(
-        "a late copy of an answer settles no order",
+        "a late duplicate response settles no order",
         "platform/servers.py",
         "if names.SIGNATURE in response.headers:",
         "if False:",
         SITE + "test_leaving",
     ),
     Break(
-        "a node that starts reads first what calls need",
+        "a starting node first reads what calls need",
         "batches/cache.py",
         "        mirror.defer_prefix(records.PREFIX)\n",
         "",
         SITE + "test_thundering_herd",
     ),
     Break(
-        "an ended batch takes little",
+        "the request bodies of an ended batch are removed",
         "batches/transactions.py",
         "for number in range(parts):",
         "for number in range(0):",
         SITE + "test_thundering_herd",
     ),
     Break(
-        "a lost node's samples go on soon",
+        "the samples of a failed node are resumed quickly",
         "leadership.py",
         "if self._is_overdue(holder):",
         "if False:",
         SITE + "test_lifecycle.LostHolderTest",
     ),
     Break(
-        "a node that lives keeps its samples",
+        "a reachable node keeps its samples",
         "fleet/peers.py",
         "            await self.client.probe(address)\n",
         '            raise calls.PeerError("", True)\n',
         SITE + "test_lifecycle.LostHolderTest",
     ),
     Break(
-        "no report or order to the cloud leaves after its lease",
+        "nothing is sent to the cloud after the lease has expired",
         "platform/cloud.py",
         "        request.before_send = holder.check\n",
         "",
         SITE + "test_lease_expiry",
     ),
     Break(
-        "no order to an engine leaves after its lease",
+        "no order is sent to an engine after the lease has expired",
         "platform/servers.py",
         "        request.before_send = order.holder.check\n",
         "",
         SITE + "test_lease_expiry",
     ),
     Break(
-        "a request that was read at a stop is answered",
+        "a request received during a stop is answered",
         "web/worker.py",
         "        if not self.has_bytes:\n"
         "            self.close_unless_handling()",
@@ -491,77 +495,77 @@
         "tests.test_web_connections.StopTest",
     ),
     Break(
-        "a request that was read as its time-out passed is answered",
+        "a request received at the idle time-out is answered",
         "web/worker.py",
         "if data and not self.has_bytes:",
         "if False:",
         "tests.test_web_connections.IdleTest",
     ),
     Break(
-        "a head that comes for ever has an end",
+        "endless request headers time out",
         "web/worker.py",
         "if stream.has_bytes and waited_s > allowed.header_timeout_s:",
         "if False:",
         "tests.test_web_connections.IdleTest",
     ),
     Break(
-        "what callers may send is what the configuration says",
+        "request limits come from the configuration",
         "runtime.py",
         "allowed = configured.limits if configured else catalogue.Limits()",
         "allowed = catalogue.Limits()",
         SITE + "test_configurations.LimitsTest",
     ),
     Break(
-        "texts of two runs are not joined",
+        "texts of two runs are never combined",
         "peering/replication.py",
         "return is_next and self.before == digest(known)",
         "return is_next",
         SITE + "test_replication",
     ),
     Break(
-        "nothing of an ended batch is sent by an old view",
+        "no call of an ended batch is sent with an outdated view",
         "batches/sendguard.py",
         "if not self.view.is_current():",
         "if False:",
         SITE + "test_ended",
     ),
     Break(
-        "an item whose batch ends while it connects is kept back",
+        "an item is not sent if its batch ends during the connect",
         "batches/sendguard.py",
         "if not sample.record.is_open():",
         "if False:",
         SITE + "test_ended",
     ),
     Break(
-        "items go on while the store is silent for all",
+        "items continue while no node reaches the store",
         "storage/view.py",
         "was_old = peer_answered_at",
         "was_old = False and peer_answered_at",
         "tests.storage.test_view",
     ),
     Break(
-        "failures side by side are not a row",
+        "concurrent failures do not count as consecutive",
         "fleet/registry.py",
         "if now < self.ejected_until:",
         "if False:",
         "tests.test_server_registry",
     ),
     Break(
-        "calls that are given up teach how long answers take",
+        "timed-out calls count in the latency estimate",
         "gateway/forwarder.py",
         "self._update_latency(state.service, timeout_s)",
         "pass",
         SITE + "test_overload",
     ),
     Break(
-        "waiting for room takes no time from a scoring call",
+        "queueing does not shorten the time-out of a scoring call",
         "gateway/forwarder.py",
         "    if inbound.is_background:\n        return inbound.timeout_s\n",
         "",
         SITE + "test_overload",
     ),
     Break(
-        "a rewritten specification is no new batch",
+        "a rewritten specification is not a new batch",
         "batches/cache.py",
         "is_new = entry.created == entry.revision",
         "is_new = True",
--- a/bench/virtualfleet.py
+++ b/bench/virtualfleet.py
@@ -1,4 +1,4 @@
-"""A fleet on virtual time: messages, store calls and spreading by its size."""
+"""Measures call rates and propagation times of a fleet in virtual time."""
 
 import collections
 import statistics
@@ -11,7 +11,7 @@
 from kingcupscale.fakes import virtualtime
 
 STEADY_S = 20.0
-SPREAD_LIMIT_S = 120.0
+PROPAGATION_LIMIT_S = 120.0
 POLL_S = 0.05
 ZONES = 6
 NODES_PER_RACK = 16
@@ -19,20 +19,22 @@
 
 @attrs.frozen
 class Fleet:
-    """What a fleet of one size did.
+    """Call rates and propagation times of a fleet of one size.
 
     Attributes:
-        nodes: How many nodes.
-        peer_calls_per_s: Calls a node makes to others.
+        nodes: Number of nodes.
+        peer_calls_per_s: Mean calls of a node to other nodes.
         store_calls_per_s: Calls of the whole fleet to the store.
-        store_writes_per_s: Of them, writes.
+        store_writes_per_s: Writes among these calls.
         largest_store_calls_per_s: Calls to the store by the busiest node.
-        change_s: Until a change was in force on every node.
-        withdrawn_s: Until a withdrawn key was refused by every node.
-        gossip_only_s: Until a change was everywhere, pushes lost.
-        rack_lost_s: Until two changes were everywhere, a rack lost meanwhile.
-        detected_s: Until every node had found the rack's nodes dead; None if
-            not within ``SPREAD_LIMIT_S``.
+        change_s: Time until a change is in force on every node.
+        withdrawn_s: Time until every node refuses a withdrawn key.
+        gossip_only_s: Time until a change is in force on every node if all
+            pushes are lost.
+        rack_lost_s: Time until two changes are in force on every running node
+            after a rack has failed.
+        detected_s: Time until every running node has detected the failed nodes
+            of the rack; None if not within ``PROPAGATION_LIMIT_S``.
     """
 
     nodes: int
@@ -48,29 +50,35 @@
 
 
 class CountingPlan(faults.FaultPlan):
-    """Counts calls by caller and kind; strikes only pushes, when told to."""
+    """Counts calls by caller and kind, and can drop pushed changes.
+
+    Attributes:
+        peer_calls: Number of calls to other nodes, by caller.
+        store_calls: Number of calls to the store, by caller.
+        drops_pushes: Whether pushed changes are lost.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self.peer_calls: collections.Counter[str] = collections.Counter()
         self.store_calls: collections.Counter[str] = collections.Counter()
-        self.loses_pushes = False
+        self.drops_pushes = False
 
     def begin(
         self, caller: str, target: str, operation: str
     ) -> faults.Fault | None:
-        """Counts a call and returns the fault that strikes it, if any."""
+        """Counts a call and returns the fault to inject, or None."""
         if target == "key_value":
             self.store_calls[caller] += 1
         elif " " not in operation:
             self.peer_calls[caller] += 1
-        if self.loses_pushes and operation == "PushChanges":
+        if self.drops_pushes and operation == "PushChanges":
             return faults.Fault.ERROR_BEFORE
         return None
 
 
 def measure(nodes: int) -> Fleet:
-    """Returns what a fleet of so many nodes does."""
+    """Measures a fleet of this number of nodes."""
     return virtualtime.run(_measure, nodes)
 
 
@@ -81,16 +89,16 @@
     plan = CountingPlan()
     async with clusters.running(size, plan) as cluster:
         await trio.sleep(15)
-        steady = await _measure_steady(cluster, plan)
+        call_rates = await _measure_call_rates(cluster, plan)
         change_s = await _time_change(cluster, "customer-2", 11)
         withdrawn_s = await _time_withdrawal(cluster)
-        plan.loses_pushes = True
+        plan.drops_pushes = True
         gossip_only_s = await _time_change(cluster, "customer-2", 12)
-        plan.loses_pushes = False
-        rack_lost_s, detected_s = await _lose_rack(cluster)
+        plan.drops_pushes = False
+        rack_lost_s, detected_s = await _fail_rack(cluster)
     return Fleet(
         nodes,
-        *steady,
+        *call_rates,
         round(change_s, 2),
         round(withdrawn_s, 2),
         round(gossip_only_s, 2),
@@ -99,7 +107,7 @@
     )
 
 
-async def _measure_steady(
+async def _measure_call_rates(
     cluster: clusters.Cluster, plan: CountingPlan
 ) -> tuple[float, float, float, float]:
     plan.peer_calls.clear()
@@ -118,18 +126,18 @@
 async def _time_change(
     cluster: clusters.Cluster, organisation: str, streams: int
 ) -> float:
-    began_at = trio.current_time()
-    cluster.nursery.start_soon(_change, cluster, organisation, streams)
+    start = trio.current_time()
+    cluster.nursery.start_soon(_apply_change, cluster, organisation, streams)
     await _wait_until(
         cluster,
         lambda document: (
             document.organisations[organisation].streams == streams
         ),
     )
-    return trio.current_time() - began_at
+    return trio.current_time() - start
 
 
-async def _change(
+async def _apply_change(
     cluster: clusters.Cluster, organisation: str, streams: int
 ) -> None:
     tables = dict(cluster.tables["organisations"])
@@ -141,49 +149,56 @@
 
 
 async def _time_withdrawal(cluster: clusters.Cluster) -> float:
-    began_at = trio.current_time()
+    start = trio.current_time()
     key_id = cluster.issued[0].key_id
     operator = cluster.operator("node-2")
     cluster.nursery.start_soon(operator.withdraw, key_id, "bench")
     await _wait_until(cluster, lambda document: key_id not in document.keys)
-    return trio.current_time() - began_at
+    return trio.current_time() - start
 
 
-async def _wait_until(cluster: clusters.Cluster, holds) -> None:
-    with trio.fail_after(SPREAD_LIMIT_S):
+async def _wait_until(cluster: clusters.Cluster, is_met) -> None:
+    with trio.fail_after(PROPAGATION_LIMIT_S):
         while not all(
-            holds(running.node.replica.document)
+            is_met(running.node.replica.document)
             for name, running in cluster.nodes.items()
             if cluster.network.processes[name].is_up
         ):
             await trio.sleep(POLL_S)
 
 
-async def _lose_rack(
+async def _fail_rack(
     cluster: clusters.Cluster,
 ) -> tuple[float, float | None]:
-    """Loses every so manieth node while two operators change something."""
+    """Crashes the nodes of a rack, then makes two changes.
+
+    The nodes of the rack are evenly spaced among the names of the nodes.
+
+    Returns:
+        The time until the changes are in force, and the time until the failures
+        are detected; None if not within the limit.
+    """
     names = cluster.node_names()
     count = max(1, min(NODES_PER_RACK, len(names) // 4))
-    lost = names[2 :: max(1, len(names) // count)][:count]
-    began_at = trio.current_time()
+    failed = names[2 :: max(1, len(names) // count)][:count]
+    start = trio.current_time()
     cluster.network.on_crash = lambda _: None
-    for name in lost:
+    for name in failed:
         cluster.network.crash(name)
     await _time_change(cluster, "customer-2", 13)
     await _time_change(cluster, "customer-1", 14)
-    changed_s = trio.current_time() - began_at
-    with trio.move_on_after(SPREAD_LIMIT_S):
-        while not _all_found_dead(cluster, set(lost)):
+    change_s = trio.current_time() - start
+    with trio.move_on_after(PROPAGATION_LIMIT_S):
+        while not _is_detected_by_all(cluster, set(failed)):
             await trio.sleep(POLL_S)
-        return changed_s, round(trio.current_time() - began_at, 2)
-    return changed_s, None
+        return change_s, round(trio.current_time() - start, 2)
+    return change_s, None
 
 
-def _all_found_dead(cluster: clusters.Cluster, lost: set[str]) -> bool:
+def _is_detected_by_all(cluster: clusters.Cluster, failed: set[str]) -> bool:
     for name, running in cluster.nodes.items():
-        if name in lost:
+        if name in failed:
             continue
-        if lost & {m.name for m in running.node.members.alive()}:
+        if failed & {m.name for m in running.node.members.alive()}:
             return False
     return True
